--- a/src/router/request/destination.ts
+++ b/src/router/request/destination.ts
@@ -1,4 +1,4 @@
-/** Where a request goes now: to the owner of its key, or to the server that should answer first. */
+/** Finds the server for a request: the owner of its key, or else the server that is expected to answer first. */
 import { limitShareOf } from '../limits/permit-exchange.js';
 import type { Milliseconds, ServerId, ServiceName } from '../model/identifiers.js';
 import type { RouterContext } from '../router-context.js';
@@ -20,28 +20,28 @@
 import { closedGate, type GateTerms } from './server-gates.js';
 import { selectServer, type SelectionContext } from './server-selection.js';
 
-/** Requests that may wait at a server for each of its slots before it counts as full. */
+/** Requests that may wait at a server for each of its slots before the server counts as at capacity. */
 const WAITING_PER_SLOT = 3;
-/** A request is not sent where it would take more than this part of its latency objective. */
+/** A request is not sent to a server without a free slot where it is expected to take more than this fraction of its latency objective. */
 const USEFUL_PART = 0.95;
-/** Part of the connections that a server takes which the daemons use together. */
+/** Fraction of a server's connection limit that all daemons together use. */
 const CONNECTION_PART = 0.9;
 /**
- * Requests follow an owner that leaves, or whose zone is evacuated, this part of the allowed time: its keys move. The rest is for
- * connections that take long to come up, so that no request arrives after the time.
+ * Fraction of the allowed time for which requests still go to a draining server, or to an owner of keys in an evacuated zone, while its keys
+ * move. The remainder is for connections that are slow to open, so that no request arrives after the allowed time.
  */
 const LEAVING_PART = 0.5;
-/** An owner of keys cannot be passed by: one failure may be an accident. */
+/** Requests for a key can go to no other server, and a single failure may be accidental: an owner is skipped only after two. */
 const OWNER_FORGIVEN_FAILURES = 2;
 
-/** Requests that this daemon may have at one server: each takes a connection, and a server takes so many. */
+/** Returns the maximum number of this daemon's requests in flight at one server: each takes one of the connections that the server accepts. */
 function mostInFlight(context: RouterContext, service: ServiceName): number {
   const { configuration, daemons } = context.state;
   const limit = configuration?.services.get(service)?.connectionLimit ?? Number.POSITIVE_INFINITY;
   return Math.max(1, Math.floor(equalPart(limit * CONNECTION_PART, daemons)));
 }
 
-/** Time between two turns of this daemon at a cold server of a service; null: nothing bounds what such a server gets. */
+/** Returns the time between two turns of this daemon at a cold server of a service; null: requests to cold servers are not bounded. */
 function coldIntervalOf(context: RouterContext, service: ServiceName): Milliseconds | null {
   const { configuration, daemons, bounds } = context.state;
   const rate = configuration?.services.get(service)?.coldRequestRate ?? 0;
@@ -55,44 +55,44 @@
   return null;
 }
 
-/** For servers that can pass their work to others. */
+/** Returns the inputs of the eligibility checks for balanced servers, whose requests other servers can take. */
 function gateTerms(context: RouterContext, request: ActiveRequest): GateTerms {
   const { id, service, route, holdUntil } = request;
   return {
     now: context.now,
     evacuations: context.state.evacuations,
-    leavingGrace: 0,
+    drainingGrace: 0,
     evacuationGrace: 0,
-    forgivenFailures: 0,
+    toleratedFailures: 0,
     coldInterval: coldIntervalOf(context, service),
-    mostInFlight: mostInFlight(context, service),
+    maxInFlight: mostInFlight(context, service),
     shareOf: context.state.limits.isEmpty ? hasNoLimit : (server) => limitShareOf(context.state, server),
     seeker: { id, priority: route.priority, holdUntil },
   };
 }
 
-/** Keys of an owner that leaves, or whose zone is evacuated, are on their way: it gets requests for a part of the allowed time. */
+/** Returns the inputs of the checks for an owner of keys, which still gets requests for part of the allowed time while its keys move. */
 function ownerTerms(context: RouterContext, request: ActiveRequest): GateTerms {
   const { drain, evacuation } = context.state.bounds;
   return {
     ...gateTerms(context, request),
-    leavingGrace: drain * LEAVING_PART,
+    drainingGrace: drain * LEAVING_PART,
     evacuationGrace: (evacuation ?? 0) * LEAVING_PART,
-    forgivenFailures: OWNER_FORGIVEN_FAILURES,
+    toleratedFailures: OWNER_FORGIVEN_FAILURES,
   };
 }
 
-/** A new request there would be shed, or answered too late to be of full use. */
+/** Returns whether a server would shed a new request, or answer it too late for its latency objective. */
 function isFull({ now }: RouterContext, { load, server }: KnownServer, request: ActiveRequest): boolean {
-  const busy = load.busy(now);
-  if (busy < server.slots) {
+  const estimatedInFlight = load.busy(now);
+  if (estimatedInFlight < server.slots) {
     return false;
   }
-  const late = load.expectedTime(server.slots, now) > request.route.latencyObjective * USEFUL_PART;
-  return late || busy >= server.slots * (1 + WAITING_PER_SLOT);
+  const isLate = load.expectedTime(server.slots, now) > request.route.latencyObjective * USEFUL_PART;
+  return isLate || estimatedInFlight >= server.slots * (1 + WAITING_PER_SLOT);
 }
 
-/** The owner of a key, as far as this daemon knows that it holds it. */
+/** Returns the owner of a key, or a refusal while this daemon doesn't know that the owner holds the key. */
 function holderOf(context: RouterContext, service: ServiceName, key: number): KnownServer | NoDestination {
   const { view, servers, doubtedUnits } = context.state;
   const unit = view.unitOf(service, key);
@@ -114,25 +114,25 @@
     return known;
   }
   const { window, inFlight } = known.load;
-  const gate = closedGate(known, ownerTerms(context, request));
-  const isOpen = gate === null || gate === 'awaits_permit';
-  const hasRoom = window.allows(inFlight.size, context.now) && !isFull(context, known, request);
-  if (isOpen && !hasRoom) {
+  const ineligibility = closedGate(known, ownerTerms(context, request));
+  const isEligible = ineligibility === null || ineligibility === 'awaits_permit';
+  const hasCapacity = window.allows(inFlight.size, context.now) && !isFull(context, known, request);
+  if (isEligible && !hasCapacity) {
     return refuseFull(context, known);
   }
-  return gate === null ? known : ownerRefusal(context, request, known, gate);
+  return ineligibility === null ? known : ownerRefusal(context, request, known, ineligibility);
 }
 
-/** Of the servers that stay; while all of a service leave at once, of those that have done so for a short time. */
+/** Selects a server that isn't draining; while all servers of a service drain at once, one that began to drain a short time ago. */
 function chooseServer(
   candidates: ReadonlyMap<ServerId, KnownServer>,
   selection: SelectionContext,
   drain: Milliseconds,
 ): KnownServer | undefined {
   const chosen = selectServer(candidates.values(), selection);
-  const areLeaving = chosen === undefined && [...candidates.values()].every(isLeaving);
-  return areLeaving
-    ? selectServer(candidates.values(), { ...selection, leavingGrace: drain * LEAVING_PART })
+  const areAllDraining = chosen === undefined && [...candidates.values()].every(isLeaving);
+  return areAllDraining
+    ? selectServer(candidates.values(), { ...selection, drainingGrace: drain * LEAVING_PART })
     : chosen;
 }
 
@@ -140,19 +140,19 @@
   return drainingSince !== null;
 }
 
-/** No server of a service takes a request: by what they have said themselves, or by what this daemon has seen of them. */
+/** Returns the refusal when no server may get a request; while all servers are backing off or at their limits, it includes the wait. */
 function noServer(context: RouterContext, request: ActiveRequest): NoDestination {
   const { serversByService, evacuations } = context.state;
-  const staying = [...(serversByService.get(request.service)?.values() ?? [])].filter(
+  const remaining = [...(serversByService.get(request.service)?.values() ?? [])].filter(
     (known) => !isLeaving(known),
   );
-  const opening = staying.map((known) => ({
-    rest: known.rest.left(context.now),
-    place: untilPlace(context, request, known),
+  const waits = remaining.map((known) => ({
+    backoff: known.rest.left(context.now),
+    permit: untilPlace(context, request, known),
   }));
-  const left = Math.min(...opening.map(({ rest, place }) => Math.max(rest, place)));
-  if (staying.length > 0 && left > 0) {
-    return opening.every(({ rest }) => rest > 0)
+  const left = Math.min(...waits.map(({ backoff, permit }) => Math.max(backoff, permit)));
+  if (remaining.length > 0 && left > 0) {
+    return waits.every(({ backoff }) => backoff > 0)
       ? refuseForRest(context, request, 'every server wants rest', left)
       : refuseForLimit(context, request, 'every server is at its limit, or wants rest', left);
   }
@@ -178,11 +178,11 @@
   if (isFull(context, chosen, request)) {
     return refuseForNow('every server is full');
   }
-  const gate = closedGate(chosen, { ...selection, leavingGrace: Number.POSITIVE_INFINITY });
-  return gate === 'awaits_permit' ? awaitPermit(context, request, chosen) : chosen;
+  const ineligibility = closedGate(chosen, { ...selection, drainingGrace: Number.POSITIVE_INFINITY });
+  return ineligibility === 'awaits_permit' ? awaitPermit(context, request, chosen) : chosen;
 }
 
-/** Where a request goes now, or why it can go nowhere. */
+/** Returns the server that a request goes to now, or why no server may get it. */
 export function findDestination(context: RouterContext, request: ActiveRequest): KnownServer | NoDestination {
   return request.key === null ? anyServer(context, request) : ownerOf(context, request, request.key);
 }
--- a/src/router/request/refusals.ts
+++ b/src/router/request/refusals.ts
@@ -1,4 +1,4 @@
-/** Why a request can go nowhere now: whether it waits, and what its caller is told otherwise. */
+/** Builds refusals of requests that no server may get now: whether to hold the request, and the answer for its caller otherwise. */
 import { limitShareOf } from '../limits/permit-exchange.js';
 import type { Milliseconds } from '../model/identifiers.js';
 import type { RouterContext } from '../router-context.js';
@@ -8,55 +8,57 @@
 import { FULL_RETRY_AFTER } from './request-timing.js';
 import type { ClosedGate } from './server-gates.js';
 
-/** Callers that are refused for a rest or a limit come back over this part of the time, beyond its end: not all at once. */
+/** Retry times of callers refused for a back-off or a rate limit are spread over this fraction of the wait, after its end. */
 const RETURN_SPREAD = 0.25;
-/** The same for a place that is near: so that they don't all come for the next one. */
+/** Minimum spread of the retry times for a rate limit, so that callers don't all come back for the next permit. */
 const LEAST_RETURN_SPREAD: Milliseconds = 200;
-/** A rest without an end in sight tells a caller nothing more than this. */
+/** Upper bound of the wait that callers are told, before the spread is added; a server may ask for a back-off without an end. */
 const LONGEST_RETRY_AFTER: Milliseconds = 3_600_000;
+/** Time after which a caller should retry when the owner of its key can't be reached now. */
 const OWNER_RETRY_AFTER: Milliseconds = 200;
 
-/** Why a request can go nowhere now. */
+/** Why no server may get a request now. */
 export interface NoDestination {
   readonly reason: string;
-  /** Waiting a moment may help. */
-  readonly hold: boolean;
+  /** Whether a server may be available if the request is held for a moment. */
+  readonly canHold: boolean;
+  /** Time after which the caller should retry. */
   readonly retryAfter: Milliseconds;
-  /** A permit for a place at this server would help; null: none is needed. */
+  /** Server whose rate limit requires a permit for the request; null: no permit is needed. */
   readonly permitFrom: KnownServer | null;
-  /** The limit that a server has named keeps the request back. */
-  readonly isLimited: boolean;
+  /** Whether a server's rate limit is the reason. */
+  readonly isRateLimited: boolean;
 }
 
-/** Tells a refusal from a server. */
+/** Returns whether a destination is a refusal instead of a server. */
 export function isRefusal(destination: KnownServer | NoDestination): destination is NoDestination {
   return 'reason' in destination;
 }
 
-/** A refusal for a reason that is neither a rest nor a limit. */
-export function refuse(reason: string, hold: boolean, retryAfter = OWNER_RETRY_AFTER): NoDestination {
-  return { reason, hold, retryAfter, permitFrom: null, isLimited: false };
+/** Returns a refusal for a reason other than a back-off or a rate limit. */
+export function refuse(reason: string, canHold: boolean, retryAfter = OWNER_RETRY_AFTER): NoDestination {
+  return { reason, canHold, retryAfter, permitFrom: null, isRateLimited: false };
 }
 
-/** No server takes the request now, and this passes soon. */
+/** Returns a refusal for a condition that ends soon. */
 export function refuseForNow(reason: string): NoDestination {
   return refuse(reason, true, FULL_RETRY_AFTER);
 }
 
-/** A request waits for something only if that comes in time; else it is refused at once, with the time that is left. */
+/** Returns a refusal that lasts for `left`: the request is held only if that ends in time, else refused at once with a retry time. */
 function refuseUntil(
   { now, state }: RouterContext,
   request: ActiveRequest,
   reason: string,
   left: Milliseconds,
-  leastSpread: Milliseconds,
+  minSpread: Milliseconds,
 ): NoDestination {
-  const told = Math.min(left, LONGEST_RETRY_AFTER);
-  const spread = Math.max(told * RETURN_SPREAD, leastSpread);
-  return refuse(reason, now + left <= request.holdUntil, told + spread * state.random.fraction());
+  const retryTime = Math.min(left, LONGEST_RETRY_AFTER);
+  const spread = Math.max(retryTime * RETURN_SPREAD, minSpread);
+  return refuse(reason, now + left <= request.holdUntil, retryTime + spread * state.random.fraction());
 }
 
-/** A server wants rest for so long. */
+/** Returns a refusal for a back-off that has `left` to go. */
 export function refuseForRest(
   context: RouterContext,
   request: ActiveRequest,
@@ -66,17 +68,17 @@
   return refuseUntil(context, request, reason, left, 0);
 }
 
-/** A server's limit leaves no place for so long. */
+/** Returns a refusal for a rate limit that leaves no permit for the time `left`. */
 export function refuseForLimit(
   context: RouterContext,
   request: ActiveRequest,
   reason: string,
   left: Milliseconds,
 ): NoDestination {
-  return { ...refuseUntil(context, request, reason, left, LEAST_RETURN_SPREAD), isLimited: true };
+  return { ...refuseUntil(context, request, reason, left, LEAST_RETURN_SPREAD), isRateLimited: true };
 }
 
-/** A permit for a place at a server with a limit may come in time. */
+/** Returns a refusal that holds the request until a permit for the server's rate limit arrives. */
 export function awaitPermit(
   context: RouterContext,
   request: ActiveRequest,
@@ -84,10 +86,10 @@
 ): NoDestination {
   const left = untilPlace(context, request, known);
   const reason = `no permit has come in time for ${known.server.id}, which names a limit`;
-  return { ...refuseForLimit(context, request, reason, left), hold: true, permitFrom: known };
+  return { ...refuseForLimit(context, request, reason, left), canHold: true, permitFrom: known };
 }
 
-/** Time until a server's limit leaves a place for a request; 0: it has no limit, or a place. */
+/** Returns the time until a server's rate limit is expected to leave a permit for a request; 0: no limit, or no wait. */
 export function untilPlace(
   { state, now }: RouterContext,
   request: ActiveRequest,
@@ -97,29 +99,29 @@
   return share === null ? 0 : permits.untilPlace(request.route.priority, share, now);
 }
 
-/** An owner has too much to do. */
+/** Returns a refusal because an owner is at capacity, and records the overload. */
 export function refuseFull(context: RouterContext, { server }: KnownServer): NoDestination {
   noteOverload(context);
   return refuseForNow(`the owner ${server.id} is full`);
 }
 
-/** Why the owner of a key gets nothing now. */
+/** Returns the refusal for an owner of a key that may not get the request now. */
 export function ownerRefusal(
   context: RouterContext,
   request: ActiveRequest,
   known: KnownServer,
-  gate: ClosedGate,
+  ineligibility: ClosedGate,
 ): NoDestination {
   const { now, state } = context;
   const { server, rest, coldUntil, drainingSince } = known;
   const owner = `the owner ${server.id}`;
-  switch (gate) {
-    case 'leaving':
-      // Keys that have not moved by the bound wait for the store: no caller should wait with them.
+  switch (ineligibility) {
+    case 'draining':
+      // Keys that haven't moved within the drain bound wait for the store, so their requests aren't held.
       return refuse(`${owner} is leaving`, now - (drainingSince ?? now) <= state.bounds.drain);
     case 'evacuated':
       return refuse(`the zone of ${owner} is evacuated`, true);
-    case 'resting':
+    case 'backing_off':
       return refuseForRest(context, request, `${owner} wants rest`, rest.left(now));
     case 'recovering':
       return refuseForNow(`${owner} takes one request at a time after its rest`);
@@ -127,17 +129,17 @@
       const retryAfter = Math.max(OWNER_RETRY_AFTER, coldUntil - now);
       return refuse(`${owner} is cold and takes few requests`, false, retryAfter);
     }
-    case 'silent':
+    case 'unresponsive':
       return refuse(`${owner} is silent`, false);
     case 'failing':
       return refuse(`${owner} fails`, true);
-    case 'crowded':
+    case 'overloaded':
       return refuseFull(context, known);
     case 'at_limit': {
       noteOverload(context);
       const reason = `the limit of ${owner} leaves no place in time`;
       const left = untilPlace(context, request, known);
-      return { ...refuseForLimit(context, request, reason, left), hold: false };
+      return { ...refuseForLimit(context, request, reason, left), canHold: false };
     }
     case 'awaits_permit':
       return awaitPermit(context, request, known);
--- a/src/router/request/request-dispatch.ts
+++ b/src/router/request/request-dispatch.ts
@@ -1,6 +1,6 @@
 /**
- * Sends a request on, holds it, or ends it. A refusal that promises that the request has not run is given
- * only with proof: no attempt was sent, or each one was rejected.
+ * Forwards a request to a server, holds it, or ends it. The daemon answers that a request has not run only with proof: no attempt was sent,
+ * or a server rejected each one that was.
  */
 import type { RequestOutcome } from '../effects.js';
 import type { LogEventName } from '../log-events.js';
@@ -18,7 +18,7 @@
 const BAD_GATEWAY = 502;
 const UNAVAILABLE = 503;
 const GATEWAY_TIMEOUT = 504;
-/** The log's event for each outcome. */
+/** Log event for each outcome of a request. */
 const LOG_EVENTS: Readonly<Record<RequestOutcome, LogEventName>> = {
   answered: 'request_answered',
   refused: 'request_refused',
@@ -26,15 +26,15 @@
   broken_off: 'request_broken_off',
   caller_left: 'caller_left',
 };
-/** Attempts that never left the daemon are repeated this often. */
+/** Maximum number of attempts of a request, including attempts that were never sent. */
 const MOST_ATTEMPT_NUMBERS = 6;
-/** A request is no longer sent when less than this part of its latency objective is left. */
+/** A request is no longer sent when less than this fraction of its latency objective is left until its deadline. */
 const LEAST_TIME_PART = 0.1;
-/** A server that failed gets nothing for this long, doubled with each failure up to the longest. */
+/** Time for which a server is avoided after its first failure; doubles with each further failure up to the maximum. */
 const FIRST_AVOIDANCE: Milliseconds = 150;
 const LONGEST_AVOIDANCE: Milliseconds = 2_000;
 
-/** The retry budget of a service. */
+/** Returns the retry budget of a service. */
 export function budgetOf(context: RouterContext, service: string): RetryBudget {
   const { budgets, bounds, daemons } = context.state;
   let budget = budgets.get(service);
@@ -45,7 +45,7 @@
   return budget;
 }
 
-/** Takes in how many daemons share what is bounded for all of them. */
+/** Sets the number of daemons that share the bounds on all of them. */
 export function setDaemons(state: RouterState, daemons: number): void {
   if (state.daemons !== daemons) {
     state.daemons = daemons;
@@ -53,7 +53,7 @@
   }
 }
 
-/** Sends a request to a server, holds it, or refuses it. */
+/** Forwards a request to a server, holds it, or ends it with the daemon's own answer. */
 export function dispatch(context: RouterContext, request: ActiveRequest): void {
   const { state, now } = context;
   const { route } = request;
@@ -78,12 +78,12 @@
   forward(context, request, destination);
 }
 
-/** Waits if that may help, and asks for the place that it waits for. */
+/** Holds a request if it may be sent in time, and asks for the permit that it needs; otherwise ends it. */
 function holdOrRefuse(context: RouterContext, request: ActiveRequest, refusal: NoDestination): void {
   const { state, now } = context;
-  const { hold, permitFrom, isLimited, reason, retryAfter } = refusal;
-  if (!hold || now + HELD_RETRY > request.holdUntil) {
-    state.counters.refused_at_limits += isLimited ? 1 : 0;
+  const { canHold, permitFrom, isRateLimited, reason, retryAfter } = refusal;
+  if (!canHold || now + HELD_RETRY > request.holdUntil) {
+    state.counters.refused_at_limits += isRateLimited ? 1 : 0;
     giveUp(context, request, reason, retryAfter);
     return;
   }
@@ -94,7 +94,7 @@
   }
 }
 
-/** Permits that this daemon asked for have come, or won't: a request that waits for one goes on. */
+/** Records answers to this daemon's requests for permits, and dispatches the held requests that waited for them. */
 export function takePermitAnswers(context: RouterContext, answers: readonly PermitAnswer[]): void {
   for (const answer of answers) {
     notePermitAnswer(context, answer);
@@ -140,7 +140,7 @@
   }
 }
 
-/** Ends a request with the daemon's own answer. */
+/** Ends a request with the daemon's own answer: a failure if the request may have run, else a refusal. */
 export function giveUp(
   context: RouterContext,
   request: ActiveRequest,
@@ -149,17 +149,17 @@
 ): void {
   const { state, now } = context;
   state.requests.delete(request.id);
-  const late = now >= request.deadlineAt;
+  const isPastDeadline = now >= request.deadlineAt;
   const failed = request.mayHaveRun;
-  const failureStatus = late ? GATEWAY_TIMEOUT : BAD_GATEWAY;
+  const failureStatus = isPastDeadline ? GATEWAY_TIMEOUT : BAD_GATEWAY;
   const status = failed ? failureStatus : UNAVAILABLE;
   state.counters[failed ? 'failed' : 'refused'] += 1;
-  const patience = failed ? null : retryAfter;
-  context.emit({ kind: 'answer', requestId: request.id, status, reason, retryAfter: patience });
+  const answerRetryAfter = failed ? null : retryAfter;
+  context.emit({ kind: 'answer', requestId: request.id, status, reason, retryAfter: answerRetryAfter });
   logEnd(context, request, failed ? 'failed' : 'refused', status, reason);
 }
 
-/** Tells the end of a request to the log and the histograms. */
+/** Records the end of a request in the log and the latency histograms. */
 export function logEnd(
   context: RouterContext,
   request: ActiveRequest,
@@ -186,7 +186,7 @@
   });
 }
 
-/** Takes the request off its server. */
+/** Removes a request from its server's requests in flight, and returns the server; undefined without one, or when it isn't listed any more. */
 export function endAttempt(context: RouterContext, request: ActiveRequest): KnownServer | undefined {
   const known = request.server === null ? undefined : context.state.servers.get(request.server);
   known?.load.inFlight.delete(request.id);
@@ -194,13 +194,13 @@
   return known;
 }
 
-/** Notes what an attempt came to, for the log. */
+/** Records the outcome of an attempt, for the log. */
 export function note(context: RouterContext, request: ActiveRequest, outcome: string): void {
   const duration = Math.round(context.now - request.attemptStartedAt);
   request.notes.push(`${request.server ?? '-'} ${outcome} after ${duration} ms`);
 }
 
-/** Gives up the attempt under way, if there is one. */
+/** Cancels the attempt in flight, if there is one. */
 export function cancelAttempt(context: RouterContext, request: ActiveRequest, reason: string): void {
   if (request.server === null) {
     return;
@@ -211,7 +211,7 @@
   known?.load.abandoned(context.now - request.attemptStartedAt, context.now, !request.sentToFreeSlot);
 }
 
-/** A server that failed gets nothing for a while. */
+/** Records a failure of a server and avoids the server for a time that grows with its failures. */
 export function avoidAfterFailure(known: KnownServer | undefined, now: Milliseconds): void {
   if (known !== undefined) {
     const { load } = known;
--- a/src/router/request/server-gates.ts
+++ b/src/router/request/server-gates.ts
@@ -1,6 +1,6 @@
 /**
- * Says whether a request may go to a server now: the one list of conditions, for the owner of a key and for servers that share their work. Each
- * ends by itself, and the first one that holds is named: those that a server has stated come before what this daemon guesses.
+ * Decides whether a server may get a request now, both for owners of keys and for balanced servers. The checks have a fixed order and the
+ * first one that fails is returned: what a server stated itself comes before what this daemon estimates. The conditions end independently.
  */
 import type { LimitShare } from '../limits/limit-share.js';
 import type { Permits, PlaceSeeker } from '../limits/permits.js';
@@ -11,89 +11,90 @@
 import type { Turns } from '../sharing/turns.js';
 import type { ServerLoad } from './server-load.js';
 
-/** A server and what is known of it. */
+/** A server with the state that the checks depend on. */
 export interface GatedServer {
   readonly server: ServerDescription;
   readonly load: ServerLoad;
-  /** It is cold until this time. */
+  /** Time until which the server is cold after its start. */
   readonly coldUntil: Milliseconds;
+  /** Turns in which this daemon may send to the server while it is cold. */
   readonly coldTurns: Turns;
-  /** The rest that it wants from this daemon. */
+  /** Back-off that the server asked of this daemon. */
   readonly rest: ServerRest;
-  /** It leaves since then, or null. */
+  /** Time at which draining began; null when the server isn't draining. */
   readonly drainingSince: Milliseconds | null;
-  /** Its places for this daemon while it names a limit. */
+  /** Permits of this daemon for the server's rate limit. */
   readonly permits: Permits;
 }
 
-/** What holds for all servers of a service. */
+/** Inputs of the checks that are the same for all servers of a service. */
 export interface GateTerms {
   readonly now: Milliseconds;
   readonly evacuations: ZoneEvacuations;
-  /** Servers that leave get nothing once they have for longer than this. */
-  readonly leavingGrace: Milliseconds;
-  /** The same of servers in zones that are evacuated. */
+  /** Time from the start of draining for which a server still gets requests. */
+  readonly drainingGrace: Milliseconds;
+  /** Time from the start of an evacuation for which the zone's servers still get requests. */
   readonly evacuationGrace: Milliseconds;
-  /** A server gets requests in spite of so many failures in a row. */
-  readonly forgivenFailures: number;
-  /** Time between two turns of this daemon at a cold server; null: cold servers get what warm ones do. */
+  /** A server is skipped for its failures only from this number of them since its last answer. */
+  readonly toleratedFailures: number;
+  /** Time between two turns of this daemon at a cold server; null: cold servers get as many requests as warm ones. */
   readonly coldInterval: Milliseconds | null;
-  /** Requests that this daemon may have at one server. */
-  readonly mostInFlight: number;
-  /** What this daemon may send to a server with a limit; null: it has none. */
+  /** Maximum number of this daemon's requests in flight at one server. */
+  readonly maxInFlight: number;
+  /** Returns this daemon's share of a server's rate limit; null: the server has none. */
   readonly shareOf: (server: ServerId) => LimitShare | null;
-  /** The request that is to be sent. */
+  /** The request to send, as a seeker of a permit. */
   readonly seeker: PlaceSeeker;
 }
 
-/** Why a server gets nothing now. */
+/** Why a server may not get a request now. */
 export type ClosedGate =
-  | 'leaving'
+  | 'draining'
   | 'evacuated'
-  | 'resting'
-  /** After a rest it gets one request at a time, until it has answered one. */
+  | 'backing_off'
+  /** The server's back-off has ended; it gets one request at a time until it has answered one. */
   | 'recovering'
   | 'cold'
-  | 'silent'
+  | 'unresponsive'
   | 'failing'
-  | 'crowded'
-  /** No place is left in time of those that its limit leaves. */
+  | 'overloaded'
+  /** The server's rate limit leaves no permit in time for the request. */
   | 'at_limit'
-  /** Its limit leaves a place, once the permit for it has come. */
+  /** The server's rate limit may leave a permit in time, but the leader hasn't granted it yet. */
   | 'awaits_permit';
 
-/** The first condition that keeps requests from a server, or null. */
-export function closedGate(known: GatedServer, terms: GateTerms): ClosedGate | null {
-  const { now } = terms;
+/** Returns why a server may not get a request now, or null when it may. */
+export function closedGate(known: GatedServer, context: GateTerms): ClosedGate | null {
+  const { now } = context;
   const { load, rest } = known;
-  if (isGone(known, terms)) {
-    return 'leaving';
+  if (isGone(known, context)) {
+    return 'draining';
   }
-  if (isEvacuated(known, terms)) {
+  if (isEvacuated(known, context)) {
     return 'evacuated';
   }
   if (rest.left(now) > 0) {
-    return 'resting';
+    return 'backing_off';
   }
   if (!rest.allows(load.inFlight.size, now)) {
     return 'recovering';
   }
-  if (!mayStartCold(known, terms)) {
+  if (!mayStartCold(known, context)) {
     return 'cold';
   }
   if (load.isSilent(now)) {
-    return 'silent';
+    return 'unresponsive';
   }
-  if (load.avoidUntil > now && load.failures >= terms.forgivenFailures) {
+  if (load.avoidUntil > now && load.failures >= context.toleratedFailures) {
     return 'failing';
   }
-  return load.inFlight.size >= terms.mostInFlight ? 'crowded' : limitGate(known, terms);
+  return load.inFlight.size >= context.maxInFlight ? 'overloaded' : limitGate(known, context);
 }
 
 function limitGate({ server, permits }: GatedServer, { shareOf, seeker, now }: GateTerms): ClosedGate | null {
   const share = shareOf(server.id);
-  const place = share === null ? 'free' : permits.placeFor(seeker, share, now);
-  switch (place) {
+  const permit = share === null ? 'free' : permits.placeFor(seeker, share, now);
+  switch (permit) {
     case 'free':
       return null;
     case 'awaited':
@@ -103,8 +104,8 @@
   }
 }
 
-function isGone({ drainingSince }: GatedServer, { now, leavingGrace }: GateTerms): boolean {
-  return drainingSince !== null && now - drainingSince >= leavingGrace;
+function isGone({ drainingSince }: GatedServer, { now, drainingGrace }: GateTerms): boolean {
+  return drainingSince !== null && now - drainingSince >= drainingGrace;
 }
 
 function isEvacuated({ server }: GatedServer, { now, evacuations, evacuationGrace }: GateTerms): boolean {
@@ -112,7 +113,7 @@
   return age !== null && age >= evacuationGrace;
 }
 
-/** A cold server gets a request only in a turn of this daemon. */
+/** Returns whether the server is warm, or is cold and this daemon has a turn there. */
 function mayStartCold({ coldUntil, coldTurns }: GatedServer, { coldInterval, now }: GateTerms): boolean {
   return coldUntil <= now || coldInterval === null || coldTurns.allows(coldInterval, now);
 }
--- a/test/router/request/test-server-gates.ts
+++ b/test/router/request/test-server-gates.ts
@@ -1,4 +1,4 @@
-/** A server that leaves, wants rest, is cold and names a limit at once: the first condition that holds is named, and each ends by itself. */
+/** Checks the order of the conditions that keep requests from a server which is draining, backing off, cold and rate limited at once. */
 import { expect } from 'earl';
 import { describe, it } from 'node:test';
 import { Permits } from '../../../src/router/limits/permits.js';
@@ -11,9 +11,9 @@
 import { server } from '../support/single-daemon.js';
 
 const NOW = 10_000;
-const GRACE = 1_000;
+const DRAINING_GRACE = 1_000;
 
-function troubledServer(): GatedServer {
+function ineligibleServer(): GatedServer {
   const rest = new ServerRest();
   rest.ask(2_000, NOW);
   return {
@@ -27,40 +27,40 @@
   };
 }
 
-function terms(now: number, rate: number | null): GateTerms {
+function checkInputs(now: number, rate: number | null): GateTerms {
   return {
     now,
     evacuations: new ZoneEvacuations(),
-    leavingGrace: GRACE,
+    drainingGrace: DRAINING_GRACE,
     evacuationGrace: 0,
-    forgivenFailures: 0,
+    toleratedFailures: 0,
     coldInterval: 60_000,
-    mostInFlight: 5,
+    maxInFlight: 5,
     shareOf: () => (rate === null ? null : { rate, daemons: 11, hasGrants: true }),
     seeker: { id: 1, priority: 1, holdUntil: now + 100 },
   };
 }
 
-describe('the conditions under which a server gets requests', () => {
-  it('hold one after the other', () => {
-    const known = troubledServer();
-    expect(closedGate(known, terms(NOW, 3))).toEqual('resting');
-    expect(closedGate(known, terms(NOW + 2_000, 3))).toEqual('cold');
-    expect(closedGate(known, terms(NOW + 4_000, 3))).toEqual('awaits_permit');
-    expect(closedGate(known, terms(NOW + 4_000, null))).toEqual(null);
+describe('the eligibility checks of a server', () => {
+  it('return the first failed check, each of which recovers independently', () => {
+    const known = ineligibleServer();
+    expect(closedGate(known, checkInputs(NOW, 3))).toEqual('backing_off');
+    expect(closedGate(known, checkInputs(NOW + 2_000, 3))).toEqual('cold');
+    expect(closedGate(known, checkInputs(NOW + 4_000, 3))).toEqual('awaits_permit');
+    expect(closedGate(known, checkInputs(NOW + 4_000, null))).toEqual(null);
   });
 
-  it('begin with leaving, whatever else there is', () => {
-    const known = { ...troubledServer(), drainingSince: NOW - GRACE };
-    expect(closedGate(known, terms(NOW, 3))).toEqual('leaving');
-    expect(closedGate({ ...known, drainingSince: NOW }, terms(NOW, 3))).toEqual('resting');
+  it('return draining before any other reason', () => {
+    const known = { ...ineligibleServer(), drainingSince: NOW - DRAINING_GRACE };
+    expect(closedGate(known, checkInputs(NOW, 3))).toEqual('draining');
+    expect(closedGate({ ...known, drainingSince: NOW }, checkInputs(NOW, 3))).toEqual('backing_off');
   });
 
-  it('end with a limit that leaves no place in time', () => {
-    const known = { ...troubledServer(), rest: new ServerRest(), coldUntil: 0 };
+  it('check last whether the rate limit leaves a permit in time', () => {
+    const known = { ...ineligibleServer(), rest: new ServerRest(), coldUntil: 0 };
     known.permits.noteDenied(1, 1, 500, NOW);
-    expect(closedGate(known, terms(NOW, 3))).toEqual('at_limit');
+    expect(closedGate(known, checkInputs(NOW, 3))).toEqual('at_limit');
     known.permits.noteGranted(2, NOW);
-    expect(closedGate(known, terms(NOW, 3))).toEqual(null);
+    expect(closedGate(known, checkInputs(NOW, 3))).toEqual(null);
   });
 });
--- a/test/router/request/test-server-load.ts
+++ b/test/router/request/test-server-load.ts
@@ -13,7 +13,7 @@
 
 const IDLE = { running: 0, waiting: 0, slots: 2, slowdown: 1 };
 
-function candidate(id: string): GatedServer {
+function createCandidate(id: string): GatedServer {
   const load = new ServerLoad(new ServiceProfile(), 2, 1);
   return {
     server: server(id),
@@ -26,46 +26,46 @@
   };
 }
 
-/** How often the first of two servers is chosen. */
-function choices(first: GatedServer, second: GatedServer, now: number): number {
+/** Returns how often the first of two servers is selected in 100 rounds. */
+function countSelections(first: GatedServer, second: GatedServer, now: number): number {
   const random = new SeededRandom(1);
-  let chosen = 0;
+  let selections = 0;
   for (let round = 0; round < 100; round += 1) {
-    const context = { now, zone: 'z', latencyObjective: 400, random, tried: [], mostInFlight: 9 };
+    const context = { now, zone: 'z', latencyObjective: 400, random, tried: [], maxInFlight: 9 };
     const best = selectServer([first, second], {
       ...context,
       coldInterval: null,
-      leavingGrace: 0,
+      drainingGrace: 0,
       evacuationGrace: 0,
-      forgivenFailures: 0,
+      toleratedFailures: 0,
       shareOf: () => null,
       seeker: { id: 1, priority: 1, holdUntil: now },
       evacuations: new ZoneEvacuations(),
     });
-    chosen += best === first ? 1 : 0;
+    selections += best === first ? 1 : 0;
   }
-  return chosen;
+  return selections;
 }
 
-describe('the choice of a server', () => {
-  it('passes by a server that says that work takes long there now', () => {
-    const [slow, usual] = [candidate('s1'), candidate('s2')];
+describe('the selection of a server', () => {
+  it('avoids a server that reports a slowdown', () => {
+    const [slow, usual] = [createCandidate('s1'), createCandidate('s2')];
     slow.load.report({ ...IDLE, slowdown: 3 }, 1_000);
     usual.load.report(IDLE, 1_000);
-    expect(choices(slow, usual, 1_010)).toEqual(0);
+    expect(countSelections(slow, usual, 1_010)).toEqual(0);
   });
 
-  it('forgets within a second what a server said of its speed', () => {
-    const [slow, usual] = [candidate('s1'), candidate('s2')];
+  it('ignores a reported slowdown that is two seconds old', () => {
+    const [slow, usual] = [createCandidate('s1'), createCandidate('s2')];
     slow.load.report({ ...IDLE, slowdown: 3 }, 1_000);
     usual.load.report(IDLE, 1_000);
-    expect(choices(slow, usual, 3_000) > 30).toEqual(true);
+    expect(countSelections(slow, usual, 3_000) > 30).toEqual(true);
   });
 
-  it('does not change with a server that says nothing of its speed', () => {
-    const [silent, usual] = [candidate('s1'), candidate('s2')];
-    silent.load.report({ ...IDLE, slowdown: null }, 1_000);
+  it('treats a server that reports no slowdown as one at its usual speed', () => {
+    const [unreported, usual] = [createCandidate('s1'), createCandidate('s2')];
+    unreported.load.report({ ...IDLE, slowdown: null }, 1_000);
     usual.load.report(IDLE, 1_000);
-    expect(choices(silent, usual, 1_010) > 30).toEqual(true);
+    expect(countSelections(unreported, usual, 1_010) > 30).toEqual(true);
   });
 });
