--- a/src/router/request/active-request.ts
+++ b/src/router/request/active-request.ts
@@ -4,49 +4,53 @@
 import type { RequestFingerprint } from '../model/request-fingerprint.js';
 import type { Key, Milliseconds, ServerId, ServiceName } from '../model/identifiers.js';
 
-/** A request that came before the first configuration. */
+/** A request that arrived before the first configuration was known. */
 export interface EarlyRequest {
   readonly event: RequestArrivedEvent;
   readonly readAt: Milliseconds;
 }
 
-/** Kept in the state while the request is under way. */
+/** Kept in the router state until the request has its final answer. */
 export interface ActiveRequest {
   readonly id: number;
   readonly attemptId: string;
   readonly fingerprint: RequestFingerprint;
   readonly route: Route;
   readonly service: ServiceName;
-  /** Null when any server of the service can run it. */
+  /** Null when any server of the service can run the request. */
   readonly key: Key | null;
-  /** The earliest moment at which it may have come: it may have waited unread since. */
+  /** Earliest time at which the request may have arrived; it may have waited unread in the socket since then. */
   readonly arrivedAt: Milliseconds;
-  /** It may have waited unread for this long before. */
+  /** Longest time that the request may have waited unread in the socket before it was read. */
   readonly readDelay: Milliseconds;
-  /** The final answer is due: the caller's patience or the route's timeout, whichever ends first. */
+  /** Time at which the final answer is due: the caller's deadline or the route's timeout, whichever is earlier. */
   readonly deadlineAt: Milliseconds;
-  /** It is refused rather than held beyond this time without being sent. */
+  /** Time after which the request is refused instead of held when it has not been sent. */
   readonly holdUntil: Milliseconds;
-  /** Attempts that reached, or may have reached, a server. */
+  /** Number of attempts that reached, or may have reached, a server. */
   attempts: number;
-  /** Numbers the attempts for the runtime, those that never left included. */
+  /** Number of the latest attempt, as the runtime identifies it; also counts attempts that were never sent. */
   attemptNumber: number;
-  /** The server of the attempt under way, or null while the request is held. */
+  /** Server of the attempt in flight, or null while the request is held. */
   server: ServerId | null;
   attemptStartedAt: Milliseconds;
-  /** The server seemed to have a free slot when the attempt was sent. */
+  /** Whether the server was estimated to have a free slot when the attempt was sent. */
   sentToFreeSlot: boolean;
-  /** The attempt under way took a place of those that its server's limit leaves. */
+  /** Whether the attempt in flight used a permit of its server's rate limit. */
   tookPlace: boolean;
-  /** A held request is tried again at this time. */
+  /** Time at which a held request is dispatched again. */
   retryAt: Milliseconds;
+  /** Servers that the request has been sent to; empty for a request with a key, which can go to the owner only. */
   readonly tried: ServerId[];
-  /** Attempts whose connection ended before an answer. */
+  /** Number of attempts that were lost: the server may have run the request, and no whole answer came. */
   lostAttempts: number;
-  /** Of these, those after which a server may have ended: one that sheds a request does so at once. */
+  /**
+   * Number of lost attempts that the server may have crashed under. A connection that is reset at once is not counted: a server that sheds
+   * a request does so immediately.
+   */
   possibleCrashes: number;
-  /** Some attempt may have run. */
+  /** Whether a server may have run the request in some attempt. */
   mayHaveRun: boolean;
-  /** What each attempt came to, for the log. */
+  /** Outcome of each attempt, for the log. */
   readonly notes: string[];
 }
--- a/src/router/request/admission-window.ts
+++ b/src/router/request/admission-window.ts
@@ -1,102 +1,102 @@
 /**
- * How many requests a daemon may have at one owner of keys. The owner cannot be passed by, and what the other daemons
- * have there is not seen; what is seen is how long answers take. So the window shrinks when they come late or the
- * owner sheds requests, and grows while it is used and answers are quick, as a congestion window does. With many
- * daemons an owner has room for less than one request of each: then the window is a part of one, and says how long a
- * daemon waits between two requests. Owners shed fewer requests for it.
+ * Limits how many requests this daemon has in flight at one owner of keys. Requests for a key can go to no other server, and this daemon does
+ * not see the requests of other daemons there; it sees only how long answers take. The window works as a congestion window: it shrinks
+ * when answers are late or the owner sheds requests, and grows while it is used up and answers are quick. With many daemons an owner has
+ * room for less than one request of each daemon: the window is then a fraction of one request and sets the time that a daemon waits
+ * between two requests. Owners shed fewer requests as a result.
  */
 import { equalPart } from '../sharing/equal-part.js';
 import type { Milliseconds } from '../model/identifiers.js';
 
 /**
- * Before anything is known of an owner, all daemons together send it this many requests for each of its slots: more would make most of
- * its first answers late.
+ * Requests that all daemons together may have in flight for each slot of an owner before any answer: more would make most of the first
+ * answers late.
  */
 const FIRST_PER_SLOT = 6;
 const LARGEST_FIRST_WINDOW = 6;
-/** Hundreds of daemons share an owner that has room for ten requests. */
+/** Small enough for hundreds of daemons that share an owner with room for ten requests. */
 const LEAST_WINDOW = 0.02;
 const MOST_WINDOW = 64;
-/** How long a request is taken to last before any was answered. */
+/** Assumed duration of a request before any has been answered. */
 const FIRST_DURATION: Milliseconds = 200;
-/** Answers come late when their mean duration is more than this part of the latency objective. */
+/** Answers count as late when their mean duration exceeds this fraction of the latency objective. */
 const LATE_PART = 0.7;
-/** Weight of one answer in the mean: requests differ, one that is long says little. */
+/** Weight of one answer in the mean duration. Requests differ, so a single long one says little. */
 const ANSWER_WEIGHT = 0.25;
 const AFTER_LATE = 0.75;
 const AFTER_SHED = 0.5;
-/** A window of answers that were quick adds this much; a window below one grows by this part. */
+/** A full window of quick answers grows a window of one or more by this many requests, and a smaller one by this fraction of itself. */
 const GROWTH = 0.5;
-/** A window below one that is not cut doubles in this time: hot keys last about as long. */
+/** A window below one that is not reduced doubles in this time, which is about as long as a key stays hot. */
 const DOUBLING_TIME: Milliseconds = 4_000;
 
-/** Kept for each server. */
+/** Admission window of this daemon for one server. */
 export class AdmissionWindow {
   #size: number;
   #meanDuration: Milliseconds | null = null;
-  /** Answers to requests that were sent before the last cut say nothing new. */
-  #cutAt: Milliseconds = Number.NEGATIVE_INFINITY;
+  /** Time of the latest reduction. The outcomes of requests sent before it bring no new information and reduce the window no further. */
+  #reducedAt: Milliseconds = Number.NEGATIVE_INFINITY;
   /**
-   * Until then the growth of a window below one has been counted. At first never: the first request makes a window that
-   * begins below one a whole one, so that the owner is used from the first moment on.
+   * Time up to which the growth over time of a window below one has been applied. It is minus infinity at first, so that the first request
+   * raises a window that begins below one to a whole one and the owner is used from the start.
    */
-  #grownUntil: Milliseconds = Number.NEGATIVE_INFINITY;
-  /** With a window below one: the next request may be sent then. */
-  #opensAt: Milliseconds = Number.NEGATIVE_INFINITY;
+  #growthAppliedUntil: Milliseconds = Number.NEGATIVE_INFINITY;
+  /** Earliest time of the next request while the window is below one. */
+  #nextSendAt: Milliseconds = Number.NEGATIVE_INFINITY;
 
   /**
-   * @param slots of the owner
-   * @param daemons that share it
+   * @param slots number of slots of the owner
+   * @param daemons number of daemons that share the owner
    */
   constructor(slots: number, daemons: number) {
     this.#size = Math.min(LARGEST_FIRST_WINDOW, equalPart(slots * FIRST_PER_SLOT, daemons));
   }
 
-  /** Whether one more request may be sent beside those under way. */
+  /** Returns whether one more request may be sent while `inFlight` requests are in flight. */
   allows(inFlight: number, now: Milliseconds): boolean {
     if (this.#size >= 1) {
       return inFlight < Math.floor(this.#size);
     }
-    return inFlight === 0 && now >= this.#opensAt;
+    return inFlight === 0 && now >= this.#nextSendAt;
   }
 
-  /** A request is sent. */
+  /** Records that a request is sent. */
   sent(now: Milliseconds): void {
     if (this.#size < 1) {
-      this.#size = Math.min(1, this.#size * 2 ** ((now - this.#grownUntil) / DOUBLING_TIME));
-      this.#grownUntil = now;
-      this.#opensAt = now + this.#interval();
+      this.#size = Math.min(1, this.#size * 2 ** ((now - this.#growthAppliedUntil) / DOUBLING_TIME));
+      this.#growthAppliedUntil = now;
+      this.#nextSendAt = now + this.#sendInterval();
     }
   }
 
-  /** An answer came. `inFlight` counts the others that are under way. */
+  /** Records an answer. `inFlight` is the number of other requests in flight at the owner. */
   answered(duration: Milliseconds, objective: Milliseconds, inFlight: number, now: Milliseconds): void {
-    const before = this.#meanDuration ?? duration;
-    this.#meanDuration = before + (duration - before) * ANSWER_WEIGHT;
+    const mean = this.#meanDuration ?? duration;
+    this.#meanDuration = mean + (duration - mean) * ANSWER_WEIGHT;
     if (this.#meanDuration > objective * LATE_PART) {
-      this.#cut(AFTER_LATE, now - duration, now);
+      this.#reduce(AFTER_LATE, now - duration, now);
     } else if (inFlight + 1 >= Math.floor(this.#size)) {
       this.#size = Math.min(MOST_WINDOW, this.#size + GROWTH * Math.min(this.#size, 1 / this.#size));
     }
   }
 
-  /** The owner would not take a request. */
+  /** Records that the owner shed a request. */
   shed(sentAt: Milliseconds, now: Milliseconds): void {
-    this.#cut(AFTER_SHED, sentAt, now);
+    this.#reduce(AFTER_SHED, sentAt, now);
   }
 
-  /** Time between two requests that makes a window below one. */
-  #interval(): Milliseconds {
+  /** Returns the time between two requests that corresponds to a window below one. */
+  #sendInterval(): Milliseconds {
     return (this.#meanDuration ?? FIRST_DURATION) / this.#size;
   }
 
-  #cut(factor: number, sentAt: Milliseconds, now: Milliseconds): void {
-    if (sentAt < this.#cutAt) {
+  #reduce(factor: number, sentAt: Milliseconds, now: Milliseconds): void {
+    if (sentAt < this.#reducedAt) {
       return;
     }
-    this.#cutAt = now;
-    this.#grownUntil = now;
+    this.#reducedAt = now;
+    this.#growthAppliedUntil = now;
     this.#size = Math.max(LEAST_WINDOW, this.#size * factor);
-    this.#opensAt = this.#size < 1 ? Math.max(this.#opensAt, now + this.#interval()) : now;
+    this.#nextSendAt = this.#size < 1 ? Math.max(this.#nextSendAt, now + this.#sendInterval()) : now;
   }
 }
--- a/src/router/request/attempt-outcome.ts
+++ b/src/router/request/attempt-outcome.ts
@@ -1,4 +1,4 @@
-/** What the end of an attempt means for its request and its server. */
+/** Applies the result of an attempt to its request and its server. */
 import type { AttemptEndedEvent, AttemptResult, LoadReading } from '../events.js';
 import type { Milliseconds } from '../model/identifiers.js';
 import { noteTurnedAway } from '../ownership/isolation.js';
@@ -13,23 +13,23 @@
 import type { ReportedLoad } from './server-load.js';
 import { DEFAULT_RETRY_AFTER, FULL_RETRY_AFTER, HELD_RETRY } from './request-timing.js';
 
-/** A keyed request whose owner failed it is sent there again after this long: at once it would fail again. */
+/** Delay before a request for a key is sent to its owner again after a lost attempt: sent at once, it would fail again. */
 const OWNER_RETRY: Milliseconds = 60;
-/** A connection that is reset this soon, with no answer begun, was most likely shed by a full server. */
+/** A connection that is reset within this time, before any answer, was most likely shed by a server at capacity. */
 const SHED_WITHIN: Milliseconds = 25;
 /**
- * A request after whose sending so many servers may have ended is not sent to a third in the same try: that might end, too, and others that
- * shared two of these servers would soon be suspected as much.
+ * Number of servers that may have crashed under a request after which it is not sent again for the same call of the caller: a third server
+ * might crash, too, and other requests that were at two of these servers would soon be as suspect.
  */
 const MOST_CRASHES_PER_TRY = 2;
-/** A server that has answered within this time is alive. */
+/** A server that has answered within this time counts as alive. */
 const ALIVE_WITHIN: Milliseconds = 400;
-/** A server that is full gets nothing for this long. */
+/** Time for which a server at capacity gets no request. */
 const FULL_AVOIDANCE: Milliseconds = 40;
-/** Characters of a value that cannot be read that are logged. */
+/** Maximum number of logged characters of an unreadable value. */
 const LONGEST_QUOTE = 60;
 
-/** An attempt ended, one way or another. */
+/** Processes the end of an attempt; ignores an attempt that isn't the request's current one. */
 export function receiveAttemptEnded(context: RouterContext, event: AttemptEndedEvent): void {
   const request = context.state.requests.get(event.requestId);
   if (request?.attemptNumber !== event.attempt || request.server === null) {
@@ -89,7 +89,7 @@
   }
 }
 
-/** Takes in what a server said of its load. What cannot be read is counted, and said once for its service. */
+/** Records the load that a server reported. An unreadable report is counted, and logged once for each service. */
 function takeLoad(
   context: RouterContext,
   known: KnownServer | undefined,
@@ -126,7 +126,7 @@
   known?.load.window.answered(duration, request.route.latencyObjective, known.load.inFlight.size, now);
 }
 
-/** Whether a request may have waited at its server for others to end. */
+/** Returns whether a request may have waited at its server for a slot. */
 function hasWaited(request: ActiveRequest, load: ReportedLoad | null): boolean {
   return !request.sentToFreeSlot || (load !== null && load.waiting > 0);
 }
@@ -140,7 +140,7 @@
   const { now } = context;
   const reading = takeLoad(context, known, result.load);
   if (known !== undefined && known.rest.left(now) > 0) {
-    // The rest says all there is to say: it goes elsewhere, or is refused with the time that is left.
+    // The server's back-off decides: the request goes to another server, or is refused with the remaining time.
     dispatch(context, request);
     return;
   }
@@ -149,20 +149,20 @@
   }
   if (request.key !== null && known !== undefined && reading !== null && hasQueue(reading)) {
     known.load.window.shed(request.attemptStartedAt, now);
-    const queue = (reading.waiting / reading.slots) * known.load.serviceTime;
-    const wait = Math.min(queue, request.route.latencyObjective) / 2;
-    giveUp(context, request, `the owner ${known.server.id} is full`, Math.max(FULL_RETRY_AFTER, wait));
+    const queueTime = (reading.waiting / reading.slots) * known.load.serviceTime;
+    const retryAfter = Math.min(queueTime, request.route.latencyObjective) / 2;
+    giveUp(context, request, `the owner ${known.server.id} is full`, Math.max(FULL_RETRY_AFTER, retryAfter));
     return;
   }
   if (known !== undefined && !result.misdirected) {
     known.load.avoidUntil = Math.max(known.load.avoidUntil, now + FULL_AVOIDANCE);
   }
   if (known !== undefined && result.misdirected && request.key === null) {
-    // Another server has the address: this life has ended.
+    // Another server has the address, so this incarnation has ended.
     avoidAfterFailure(known, now);
   }
   if (request.key !== null && result.misdirected) {
-    // The view is older than the server's: a newer one is on its way, unless this daemon is cut off.
+    // This daemon's view of ownership is older than the server's; a newer one arrives soon unless this daemon is cut off.
     noteTurnedAway(context, request.service, request.key);
     request.retryAt = now + HELD_RETRY;
     return;
@@ -171,17 +171,17 @@
 }
 
 /**
- * Whether a server that turned a request away is full by its own figures. One that has room fails some of its requests, and
- * may take this one the next time: refusing at once would double the refusals of an owner that sheds half of its requests.
+ * Returns whether a server that rejected a request is at capacity by its own load report. A server with free capacity rejects only some
+ * requests and may accept this one the next time: refusing at once would double the refusals of an owner that sheds half of its requests.
  */
 function hasQueue({ waiting, slots }: ReportedLoad): boolean {
   return waiting >= slots;
 }
 
-/** An owner that has just answered others and will not take this request is full, not dead. */
+/** Returns whether a lost request was shed: an owner that reset it at once but has just answered others is at capacity, not dead. */
 function isShed(request: ActiveRequest, known: KnownServer, now: Milliseconds): boolean {
-  const atOnce = now - request.attemptStartedAt < SHED_WITHIN;
-  return atOnce && request.key !== null && now - known.load.lastAnswerAt < ALIVE_WITHIN;
+  const wasImmediate = now - request.attemptStartedAt < SHED_WITHIN;
+  return wasImmediate && request.key !== null && now - known.load.lastAnswerAt < ALIVE_WITHIN;
 }
 
 function noteLost(request: ActiveRequest, known: KnownServer | undefined, now: Milliseconds): void {
@@ -201,13 +201,13 @@
   }
 }
 
-/** Whether a request has so much against it that this try ends: servers here and elsewhere may have ended under it. */
+/** Returns whether a request must not be sent again because servers, as seen here and by other daemons, may have crashed under it. */
 function mayEndAnotherServer({ state }: RouterContext, request: ActiveRequest): boolean {
   const { possibleCrashes, fingerprint } = request;
-  const known = state.crashes.isEmpty ? 0 : state.crashes.endsUnder(fingerprint);
+  const recordedCrashes = state.crashes.isEmpty ? 0 : state.crashes.endsUnder(fingerprint);
   return (
     possibleCrashes >= MOST_CRASHES_PER_TRY ||
-    (possibleCrashes > 0 && known + possibleCrashes >= CRASHES_FOR_QUARANTINE)
+    (possibleCrashes > 0 && recordedCrashes + possibleCrashes >= CRASHES_FOR_QUARANTINE)
   );
 }
 
--- a/src/router/request/cold-admission.ts
+++ b/src/router/request/cold-admission.ts
@@ -1,34 +1,34 @@
-/** The rate at which all daemons together send requests to a server that is cold. */
+/** Rate at which all daemons together send requests to a cold server, one that has just started. */
 import type { Milliseconds } from '../model/identifiers.js';
 import { TURN, turnInterval } from '../sharing/turns.js';
 
-/** How many requests in one second a cold server may get. */
+/** Bound on the requests that a cold server gets in one second. */
 export interface ColdStartLimits {
-  /** Multiplies the rate that a server of the service bears while it is cold. */
+  /** Multiplier of the request rate that the service's configuration gives for a cold server. */
   readonly factor: number;
-  /** Requests beyond that. */
+  /** Requests in one second beyond the multiplied rate. */
   readonly slack: number;
 }
 
 const SECOND: Milliseconds = 1_000;
 /**
- * The bound lies this many standard deviations above the mean of all turns in a second: turns of many daemons fall as chance has it, and no
- * second may have more than the bound.
+ * Number of standard deviations between the mean number of turns in a second and the bound. The turns of many daemons coincide at random,
+ * and no second may have more requests than the bound.
  */
 const DEVIATIONS = 5;
 
 /**
- * Requests a second that all daemons together send to one cold server, so that no second has more than the bound.
+ * Returns the mean rate, in requests a second, at which all daemons together may send to one cold server so that no second exceeds the bound.
  *
- * @param most requests that may come in one second
+ * @param maxPerSecond bound on the requests in one second
  */
-export function coldRate(most: number): number {
-  // A mean m with m + d * sqrt(m) = most; a second touches the turns of a little more than a second.
-  const root = (Math.sqrt(DEVIATIONS * DEVIATIONS + 4 * most) - DEVIATIONS) / 2;
+export function coldRate(maxPerSecond: number): number {
+  // Solves m + d * sqrt(m) = maxPerSecond for the mean m. The last factor: one second overlaps turns that begin in SECOND + TURN.
+  const root = (Math.sqrt(DEVIATIONS * DEVIATIONS + 4 * maxPerSecond) - DEVIATIONS) / 2;
   return (root * root) / (1 + TURN / SECOND);
 }
 
-/** Time between the beginnings of two turns of one daemon at one cold server. */
-export function coldInterval(most: number, daemons: number): Milliseconds {
-  return turnInterval(coldRate(most), daemons);
+/** Returns the time between the starts of two turns of one daemon at one cold server. */
+export function coldInterval(maxPerSecond: number, daemons: number): Milliseconds {
+  return turnInterval(coldRate(maxPerSecond), daemons);
 }
--- a/src/router/request/request-arrival.ts
+++ b/src/router/request/request-arrival.ts
@@ -1,4 +1,4 @@
-/** Takes requests in: route, service, key. */
+/** Admits or refuses arriving requests: finds the route and the service, and checks for a key. */
 import type { RequestArrivedEvent } from '../events.js';
 import type { Configuration, Route } from '../model/configuration.js';
 import type { Milliseconds } from '../model/identifiers.js';
@@ -14,18 +14,20 @@
 const NOT_FOUND = 404;
 const BAD_REQUEST = 400;
 const UNAVAILABLE = 503;
+/** Time after which a caller should retry when no configuration is known yet. */
 const START_RETRY_AFTER: Milliseconds = 300;
-/** A request that comes before the first configuration is held for this long: it is read soon after the start. */
+/** A request is held for this long before the first configuration, which is read soon after the start. */
 const START_HOLD: Milliseconds = 120;
-/** A request must have been read within this part of its latency objective: its answer comes through the same loop, and waits as long. */
+/** A request must be read within this fraction of its latency objective: its answer passes through the same event loop and waits as long. */
 const READ_PART = 0.5;
-/** Callers whose requests were read too late come back after these parts of the latency objective: not all at once. */
+/** Retry times for requests that were read too late begin at this fraction of the latency objective. */
 const LEAST_LATE_RETRY_PART = 0.25;
+/** Spread of the retry times for requests that were read too late, as a fraction of the latency objective: callers return at different times. */
 const LATE_RETRY_SPREAD = 0.5;
-/** Requests that are held for the first configuration at once. */
+/** Maximum number of requests that are held for the first configuration. */
 const MOST_HELD_AT_START = 500;
 
-/** Takes a request in. */
+/** Admits a request, or holds it until the first configuration and list of servers are known. */
 export function receiveRequest(context: RouterContext, event: RequestArrivedEvent): void {
   const { state, now } = context;
   state.counters.requests += 1;
@@ -38,7 +40,7 @@
   }
 }
 
-/** Takes in, or refuses, what came before the first configuration and list of servers. */
+/** Admits requests that arrived before the first configuration and list of servers, or refuses them once their hold time is over. */
 export function tickEarlyRequests(context: RouterContext): void {
   const { early, configuration, serversRevision } = context.state;
   for (const [requestId, { event, readAt }] of early) {
@@ -91,13 +93,13 @@
   dispatch(context, request);
 }
 
-/** How long a request may wait unread; null: it has no route. */
+/** Returns how long a request may wait unread in its socket; null: the request has no route. */
 export function longestReadDelay({ routes }: RouterState, host: string, target: string): Milliseconds | null {
   const route = routes.match(host, target);
   return route === undefined ? null : route.latencyObjective * READ_PART;
 }
 
-/** This daemon is behind: the request can't be in time any more, and another daemon may be on time. */
+/** Refuses a request that can't be answered in time because this daemon's event loop is behind; another daemon may not be. */
 function refuseReadLate(context: RouterContext, event: RequestArrivedEvent, route: Route): void {
   const { counters, random } = context.state;
   counters.refused_read_late += 1;
@@ -113,7 +115,7 @@
   readAt: Milliseconds,
 ): ActiveRequest {
   const arrivedAt = readAt - event.readDelay;
-  const patience = Math.min(event.callerPatience ?? route.timeout, route.timeout);
+  const timeout = Math.min(event.callerPatience ?? route.timeout, route.timeout);
   return {
     id: event.requestId,
     attemptId: event.attemptId,
@@ -123,8 +125,8 @@
     key,
     arrivedAt,
     readDelay: event.readDelay,
-    deadlineAt: arrivedAt + patience,
-    holdUntil: arrivedAt + Math.min(patience, route.latencyObjective) * HOLD_PART,
+    deadlineAt: arrivedAt + timeout,
+    holdUntil: arrivedAt + Math.min(timeout, route.latencyObjective) * HOLD_PART,
     attempts: 0,
     attemptNumber: 0,
     server: null,
--- a/src/router/request/request-ticks.ts
+++ b/src/router/request/request-ticks.ts
@@ -1,4 +1,4 @@
-/** What time does to requests, and what happens when a caller leaves. */
+/** Periodic checks of active requests (retries, deadlines, unresponsive servers), and requests whose caller disconnects. */
 import type { CallerLeftEvent } from '../events.js';
 import type { Milliseconds } from '../model/identifiers.js';
 import type { RouterContext } from '../router-context.js';
@@ -9,14 +9,14 @@
 import { avoidAfterFailure, budgetOf, cancelAttempt, dispatch, giveUp, logEnd } from './request-dispatch.js';
 import { DEFAULT_RETRY_AFTER, HOLD_PART } from './request-timing.js';
 
-/** A request at a silent server is sent elsewhere after this part of its objective, and this many usual times. */
+/** A request is taken from an unresponsive server after the longer of this fraction of its latency objective and this many service times. */
 const SILENT_PART = 0.8;
 const SILENT_FACTOR = 3;
-/** The server gives up at the deadline by itself; its answer is awaited for this long. */
+/** The server stops by itself at the deadline; this daemon waits for its answer for this long after that. */
 const DEADLINE_SLACK: Milliseconds = 30;
 const LEFT_UNREAD = 'the caller had closed its connection before its request was read';
 
-/** The caller is gone: its request is cancelled at once. */
+/** Cancels the request of a caller that closed its connection. */
 export function receiveCallerLeft(context: RouterContext, event: CallerLeftEvent): void {
   const { state } = context;
   const { requestId, attemptId, isTakenIn } = event;
@@ -36,7 +36,7 @@
   logEnd(context, request, 'caller_left', 0, 'the caller closed its connection');
 }
 
-/** Sends held requests again, ends those whose time is up, and leaves servers that have fallen silent. */
+/** Dispatches held requests again, ends requests past their deadline, and moves requests away from unresponsive servers. */
 export function tickRequests(context: RouterContext): void {
   const { state, now } = context;
   tickEarlyRequests(context);
@@ -55,7 +55,7 @@
   }
 }
 
-/** A request goes to another server when its own seems dead; only if there is one, and not during a stop. */
+/** Sends a request to another server when its own is unresponsive; only if another one may get it, and not during a planned stop. */
 function leaveSilentServer(context: RouterContext, request: ActiveRequest): void {
   const { state, now } = context;
   const known = request.server === null ? undefined : state.servers.get(request.server);
@@ -63,13 +63,13 @@
     return;
   }
   const objective = request.route.latencyObjective;
-  const patience = Math.max(objective * SILENT_PART, SILENT_FACTOR * known.load.serviceTime);
-  const isDue = now - request.attemptStartedAt > patience && !state.stopping;
+  const timeout = Math.max(objective * SILENT_PART, SILENT_FACTOR * known.load.serviceTime);
+  const isOverdue = now - request.attemptStartedAt > timeout && !state.stopping;
   const canRetry =
     request.attempts < request.route.maxAttempts &&
     request.deadlineAt - now > objective * HOLD_PART &&
     budgetOf(context, request.service).hasRetry;
-  if (isDue && canRetry && !isRefusal(findDestination(context, request))) {
+  if (isOverdue && canRetry && !isRefusal(findDestination(context, request))) {
     cancelAttempt(context, request, 'cancelled, the server is silent');
     request.mayHaveRun = true;
     avoidAfterFailure(known, now);
--- a/src/router/request/request-timing.ts
+++ b/src/router/request/request-timing.ts
@@ -1,13 +1,13 @@
-/** The time constants of requests that more than one module uses. */
+/** Constants of the request path that more than one module uses. */
 import type { Milliseconds } from '../model/identifiers.js';
 
-/** A request is held for this part of its latency objective before it is refused. */
+/** Fraction of its latency objective for which a request is held before it is refused. */
 export const HOLD_PART = 0.22;
-/** A held request is tried again this often. */
+/** Time between two dispatches of a held request. */
 export const HELD_RETRY: Milliseconds = 15;
-/** When a caller should come back if nothing better is known. */
+/** Time after which a caller should retry when nothing more exact is known. */
 export const DEFAULT_RETRY_AFTER: Milliseconds = 150;
-/** When a caller should come back to a full server: its next answer is about this far off. */
+/** Time after which a caller should retry when a server is at capacity, about the time until its next answer. */
 export const FULL_RETRY_AFTER: Milliseconds = 100;
-/** A server that has just started is taken to need this many times as long, until its answers say more. */
+/** Factor by which a server that has just started is assumed to be slower, until its answers show its speed. */
 export const COLD_FACTOR = 2;
--- a/src/router/request/retry-budget.ts
+++ b/src/router/request/retry-budget.ts
@@ -1,53 +1,52 @@
 /**
- * Bounds how many arrivals beyond the first a service sees. The whole system may make a share of the
- * requests plus a fixed number within a window; each daemon takes an equal part of the fixed number and
- * the share of its own requests, as a token bucket.
+ * Bounds the retries that a service receives. Within a window, all daemons together may retry a fixed ratio of the requests plus a fixed
+ * number. Each daemon keeps a token bucket that holds an equal part of the fixed number and is refilled by the ratio of its own requests.
  */
 
 import { equalPart } from '../sharing/equal-part.js';
 
-/** The system's bound on retries. */
+/** Bound on the retries of all daemons together. */
 export interface RetryBudgetLimits {
-  /** Retries for each request. */
+  /** Retries allowed for each request. */
   readonly ratio: number;
-  /** Retries beyond that in one window, for the whole system. */
+  /** Retries beyond the ratio that all daemons together may make in one window. */
   readonly extra: number;
 }
 
-/** The part of the bound that is used; the rest covers daemons that start and windows that overlap. */
+/** Fraction of the bound that is used; the rest covers daemons that start and windows that overlap. */
 const USED_PART = 0.8;
 
-/** The budget of one service at one daemon. */
+/** Retry budget of one service at one daemon. */
 export class RetryBudget {
   #tokens: number;
   #capacity: number;
   readonly #limits: RetryBudgetLimits;
 
-  /** @param daemons how many daemons share the budget */
+  /** @param daemons number of daemons that share the budget */
   constructor(limits: RetryBudgetLimits, daemons: number) {
     this.#limits = limits;
     this.#capacity = equalPart(limits.extra * USED_PART, daemons);
-    // A daemon that was just started may have spent its part in the life before.
+    // A daemon that has just restarted may have spent its part in its previous incarnation.
     this.#tokens = this.#capacity / 2;
   }
 
-  /** The number of daemons changed. */
+  /** Sets the number of daemons that share the budget. */
   shareAmong(daemons: number): void {
     this.#capacity = equalPart(this.#limits.extra * USED_PART, daemons);
     this.#tokens = Math.min(this.#tokens, this.#capacity);
   }
 
-  /** A request came from a caller. */
+  /** Adds the tokens for a request from a caller. */
   addRequest(): void {
     this.#tokens = Math.min(this.#capacity, this.#tokens + this.#limits.ratio * USED_PART);
   }
 
-  /** Whether a retry is left. */
+  /** Whether the budget has a token for a retry. */
   get hasRetry(): boolean {
     return this.#tokens >= 1;
   }
 
-  /** Takes one retry, or returns false when there is none left. */
+  /** Takes the token for one retry; returns false when none is left. */
   take(): boolean {
     if (!this.hasRetry) {
       return false;
--- a/src/router/request/server-load.ts
+++ b/src/router/request/server-load.ts
@@ -1,100 +1,100 @@
-/** What this daemon has seen of one server: its own requests there, the server's load, its speed. */
+/** Estimates the load and the speed of one server from this daemon's own requests there and from what the server reports. */
 import type { Milliseconds } from '../model/identifiers.js';
 import { AdmissionWindow } from './admission-window.js';
 import { ServiceProfile } from './service-profile.js';
 
-/** What is known of the work of other daemons fades by e in this time. */
+/** The estimate of other daemons' requests at a server decays by a factor of e in this time. */
 const LOAD_MEMORY: Milliseconds = 400;
-/** What a server said of its speed fades by e in this time: it changes many times a second. */
+/** A slowdown that a server reported decays by a factor of e in this time; the true value changes many times a second. */
 const SLOWDOWN_MEMORY: Milliseconds = 300;
-/** Weight of a new report against the faded one before. */
+/** Weight of a new load report against the decayed estimate. */
 const REPORT_WEIGHT = 0.7;
-/** Weight of a new service time in the average. */
+/** Weight of a new sample in the average service time. */
 const SERVICE_TIME_WEIGHT = 0.1;
-/** Weight of a request that got no answer: it would have taken longer still. */
+/** Weight of the duration of an unanswered request, which would have taken longer still. */
 const ABANDONED_WEIGHT = 0.2;
-/** What is known of a server fades by e in this time without news: one that was slow is tried again. */
+/** A server's own service time decays towards its service's mean by a factor of e in this time, so that a slow server is tried again. */
 const SERVICE_TIME_MEMORY: Milliseconds = 6_000;
-/** A server with a request unanswered for this many times its usual time, and for this long, is suspected. */
+/** A server counts as unresponsive once a request is unanswered for this many times the usual service time, and for at least this long. */
 const SUSPICION_FACTOR = 4;
 const SUSPICION_FLOOR: Milliseconds = 400;
-/** The same while nobody knows how long requests of the service take. */
+/** Minimum time until a server counts as unresponsive while its service has too few samples. */
 const SUSPICION_FLOOR_UNKNOWN: Milliseconds = 1_000;
 
-/** What a server says of itself in an answer. */
+/** Load that a server reports with an answer. */
 export interface ReportedLoad {
   readonly running: number;
   readonly waiting: number;
   readonly slots: number;
-  /** How many times as long as usual work takes there at present, or null when it is not said. */
+  /** Current time of the server's work as a multiple of its usual time; null when the server doesn't report it. */
   readonly slowdown: number | null;
 }
 
-/** What a daemon has seen of a server's answers and not yet told. */
+/** Figures on a server's answers that this daemon hasn't reported to the leader yet. */
 export interface UntoldAnswers {
-  /** Answers, those that waited for a slot included. */
+  /** Number of answers, including answers to requests that waited for a slot. */
   requests: number;
-  /** How long requests were there, those that got no answer included. */
+  /** Total time that requests were at the server, including unanswered ones. */
   total: Milliseconds;
 }
 
-/** Kept for each server that is listed. */
+/** Load and speed of one listed server. */
 export class ServerLoad {
-  /** Requests of this daemon that are there now, by number, with the time of their sending. */
+  /** Sending times of this daemon's requests in flight at the server, by request id, in the order of sending. */
   readonly inFlight = new Map<number, Milliseconds>();
-  /** How many requests for its keys it gets at once. */
+  /** Limits the requests in flight for keys that the server owns. */
   readonly window: AdmissionWindow;
-  /** No new request goes there before this time. */
+  /** Time before which the server gets no new request after a failure or while it is at capacity. */
   avoidUntil: Milliseconds = 0;
   lastAnswerAt: Milliseconds = -1;
-  /** Failures since the last good answer. */
+  /** Number of failures since the last answer. */
   failures = 0;
-  /** Not yet told to the leader. */
+  /** Answers since the last report to the leader. */
   readonly untold: UntoldAnswers = { requests: 0, total: 0 };
   readonly #profile: ServiceProfile;
-  /** Average time of a request on an idle slot of this server, or null before one is known. */
-  #ownTime: Milliseconds | null = null;
-  #learnedAt: Milliseconds = 0;
-  #others = 0;
-  /** How many times as long as usual work took there when it was last said. */
+  /** Average time of a request on an idle slot of this server; null before the first sample. */
+  #serverTime: Milliseconds | null = null;
+  #sampledAt: Milliseconds = 0;
+  #otherRequests = 0;
+  /** Slowdown that the server last reported. */
   #slowdown = 1;
   #reportedAt: Milliseconds = Number.NEGATIVE_INFINITY;
 
   /**
-   * @param profile what is known of the service's servers together
-   * @param slots of the server
-   * @param daemons that share it
+   * @param profile service times over all servers of the service
+   * @param slots number of slots of the server
+   * @param daemons number of daemons that share the server
    */
   constructor(profile: ServiceProfile, slots: number, daemons: number) {
     this.#profile = profile;
     this.window = new AdmissionWindow(slots, daemons);
   }
 
-  /** Average time of a request on an idle slot; that of the service before this server is known. */
+  /** Average time of a request on an idle slot of this server; before the first sample, the mean of its service. */
   get serviceTime(): Milliseconds {
-    return this.#ownTime ?? this.#profile.mean;
+    return this.#serverTime ?? this.#profile.mean;
   }
 
-  /** Estimate of requests of other daemons that are there. What was reported long ago counts little. */
+  /** Returns the estimated number of other daemons' requests at the server; old reports count little. */
   others(now: Milliseconds): number {
-    return this.#others * Math.exp((this.#reportedAt - now) / LOAD_MEMORY);
+    return this.#otherRequests * Math.exp((this.#reportedAt - now) / LOAD_MEMORY);
   }
 
-  /** Takes in what a server reported with an answer. */
+  /** Records the load that the server reported with an answer. */
   report(load: ReportedLoad, now: Milliseconds): void {
-    const seen = Math.max(0, load.running + load.waiting - this.inFlight.size);
-    const before = this.others(now);
-    this.#others = before + (seen - before) * REPORT_WEIGHT;
+    const reported = Math.max(0, load.running + load.waiting - this.inFlight.size);
+    const previous = this.others(now);
+    this.#otherRequests = previous + (reported - previous) * REPORT_WEIGHT;
     this.#slowdown = load.slowdown ?? 1;
     this.#reportedAt = now;
   }
 
-  /** The server shed a request without a word: it has at least as many waiting as it has slots. */
+  /** Records that the server shed a request without a load report: it is assumed to have as many requests waiting as it has slots. */
   noteShed(slots: number, now: Milliseconds): void {
     this.report({ running: slots, waiting: slots, slots, slowdown: null }, now);
   }
 
-  /** Takes in how long an answer took; `waited`: the server may have let the request wait for a slot. */
+  /** Records an answer and its duration; `waited` is whether the request may have waited for a slot of the server. */
   answered(duration: Milliseconds, now: Milliseconds, waited: boolean): void {
     this.lastAnswerAt = now;
     this.failures = 0;
@@ -102,58 +102,58 @@
     this.untold.total += duration;
     if (!waited) {
       this.#profile.add(duration);
-      this.#learn(duration, SERVICE_TIME_WEIGHT, now);
+      this.#addSample(duration, SERVICE_TIME_WEIGHT, now);
     }
   }
 
-  #learn(duration: Milliseconds, weight: number, now: Milliseconds): void {
-    const before = this.#fadedTime(now);
-    this.#ownTime = before + (duration - before) * weight;
-    this.#learnedAt = now;
+  #addSample(duration: Milliseconds, weight: number, now: Milliseconds): void {
+    const previous = this.#decayedTime(now);
+    this.#serverTime = previous + (duration - previous) * weight;
+    this.#sampledAt = now;
   }
 
-  /** The service time with what was learned long ago counting little. */
-  #fadedTime(now: Milliseconds): Milliseconds {
+  /** Returns this server's service time, decayed towards its service's mean with the age of the last sample. */
+  #decayedTime(now: Milliseconds): Milliseconds {
     const { mean } = this.#profile;
-    const memory = Math.exp((this.#learnedAt - now) / SERVICE_TIME_MEMORY);
-    return this.#ownTime === null ? mean : mean + (this.#ownTime - mean) * memory;
+    const decay = Math.exp((this.#sampledAt - now) / SERVICE_TIME_MEMORY);
+    return this.#serverTime === null ? mean : mean + (this.#serverTime - mean) * decay;
   }
 
-  /** A request ended there without an answer, after some time; `waited` as above. */
+  /** Records that a request ended without an answer after `duration`; `waited` is whether it may have waited for a slot of the server. */
   abandoned(duration: Milliseconds, now: Milliseconds, waited: boolean): void {
     this.untold.total += duration;
     if (!waited && duration > this.serviceTime) {
-      this.#learn(duration, ABANDONED_WEIGHT, now);
+      this.#addSample(duration, ABANDONED_WEIGHT, now);
     }
   }
 
-  /** Requests that are there now, as far as this daemon can tell. */
+  /** Returns the estimated number of requests at the server, from this and other daemons. */
   busy(now: Milliseconds): number {
     return this.inFlight.size + this.others(now);
   }
 
-  /** Expected time until a new request there is answered. */
+  /** Returns the expected time until a new request at the server is answered. */
   expectedTime(slots: number, now: Milliseconds): Milliseconds {
-    const rounds = Math.max(0, this.busy(now) + 1 - slots) / slots;
-    return this.#fadedTime(now) * (1 + rounds);
+    const queuedRounds = Math.max(0, this.busy(now) + 1 - slots) / slots;
+    return this.#decayedTime(now) * (1 + queuedRounds);
   }
 
-  /** How many times as long as usual work is expected to take there: what was said long ago counts little. */
+  /** Returns the expected slowdown of the server as a multiple of its usual time; an old report counts little. */
   slowdown(now: Milliseconds): number {
     return 1 + (this.#slowdown - 1) * Math.exp((this.#reportedAt - now) / SLOWDOWN_MEMORY);
   }
 
-  /** A request there is unanswered for long, and nothing else has been answered since it was sent. */
+  /** Returns whether the oldest request in flight is unanswered for too long while no other request has been answered since it was sent. */
   isSilent(now: Milliseconds): boolean {
     for (const sentAt of this.inFlight.values()) {
-      // The first entry is the oldest: requests are added in the order of their sending.
-      return now - sentAt > this.#longestSilence() && this.lastAnswerAt < sentAt;
+      // The first entry is the oldest one, since entries are in the order of sending.
+      return now - sentAt > this.#unresponsiveTimeout() && this.lastAnswerAt < sentAt;
     }
     return false;
   }
 
-  /** A server that was quick so far is judged by its service, too: requests differ more than servers do. */
-  #longestSilence(): Milliseconds {
+  /** Takes the larger of the server's and its service's mean: requests differ more than servers do, so a quick record proves little. */
+  #unresponsiveTimeout(): Milliseconds {
     const floor = this.#profile.isKnown ? SUSPICION_FLOOR : SUSPICION_FLOOR_UNKNOWN;
     return Math.max(floor, SUSPICION_FACTOR * Math.max(this.serviceTime, this.#profile.mean));
   }
--- a/src/router/request/service-profile.ts
+++ b/src/router/request/service-profile.ts
@@ -1,37 +1,37 @@
-/** How long the requests of a service usually take on an idle slot, over all of its servers. */
+/** Mean time of a service's requests on an idle slot, over all of its servers. */
 import type { Milliseconds } from '../model/identifiers.js';
 
-/** Before anything is known, a request is taken to last this long. */
+/** Assumed service time before any request has been measured. */
 const FIRST_TIME: Milliseconds = 80;
-/** Weight of a new time once many are known. */
+/** Weight of a new sample once there are many. */
 const LEAST_WEIGHT = 0.02;
-/** Fewer times than this say little of a service. */
+/** Number of samples below which the mean says little about the service. */
 const ENOUGH_TIMES = 5;
 
-/** Shared by the servers of one service: what is expected of a server of which little is known. */
+/** Shared by all servers of one service; gives the expected service time of a server with few samples of its own. */
 export class ServiceProfile {
-  /** A server of the service has told of its load what cannot be read, and the log says so. */
+  /** Whether the log already has an unreadable load report from a server of the service. */
   saidUnreadable = false;
-  /** The same of a rest that it asked for. */
+  /** Whether the log already has an unreadable back-off request from a server of the service. */
   saidUnreadableRest = false;
-  /** The same of a limit. */
+  /** Whether the log already has an unreadable rate limit from a server of the service. */
   saidUnreadableLimit = false;
   #mean: Milliseconds = FIRST_TIME;
-  #times = 0;
+  #sampleCount = 0;
 
-  /** The mean time of a request. */
+  /** Mean time of a request on an idle slot. */
   get mean(): Milliseconds {
     return this.#mean;
   }
 
-  /** Whether enough requests were seen to judge a server by the mean. */
+  /** Whether there are enough samples to judge a server by the mean. */
   get isKnown(): boolean {
-    return this.#times >= ENOUGH_TIMES;
+    return this.#sampleCount >= ENOUGH_TIMES;
   }
 
-  /** Takes in how long a request took that did not wait. */
+  /** Adds the duration of a request that did not wait for a slot. */
   add(duration: Milliseconds): void {
-    this.#times += 1;
-    this.#mean += (duration - this.#mean) * Math.max(LEAST_WEIGHT, 1 / this.#times);
+    this.#sampleCount += 1;
+    this.#mean += (duration - this.#mean) * Math.max(LEAST_WEIGHT, 1 / this.#sampleCount);
   }
 }
--- a/src/router/request/target-rotation.ts
+++ b/src/router/request/target-rotation.ts
@@ -1,39 +1,36 @@
-/**
- * Spreads the requests of a route over its targets by weight: smooth weighted round robin, so that also a
- * short run of requests has each target's share.
- */
+/** Distributes the requests of a route over its targets by smooth weighted round robin, which keeps to the weights in short runs, too. */
 import type { Route } from '../model/configuration.js';
 import type { ServiceName } from '../model/identifiers.js';
 
-/** Turns of every route with more than one target. */
+/** Round-robin state of every route with more than one target. */
 export class TargetRotation {
-  readonly #credits = new Map<string, number[]>();
+  readonly #currentWeights = new Map<string, number[]>();
 
-  /** The target of the next request of a route. */
+  /** Returns the target of a route's next request; undefined when the route has no target. */
   next(route: Route): ServiceName | undefined {
     const [first] = route.targets;
     if (route.targets.length <= 1) {
       return first?.service;
     }
-    let credits = this.#credits.get(route.name);
-    if (credits?.length !== route.targets.length) {
-      credits = route.targets.map(() => 0);
-      this.#credits.set(route.name, credits);
+    let currentWeights = this.#currentWeights.get(route.name);
+    if (currentWeights?.length !== route.targets.length) {
+      currentWeights = route.targets.map(() => 0);
+      this.#currentWeights.set(route.name, currentWeights);
     }
-    return this.#turn(route, credits);
+    return this.#selectTarget(route, currentWeights);
   }
 
-  #turn(route: Route, credits: number[]): ServiceName | undefined {
-    let total = 0;
+  #selectTarget(route: Route, currentWeights: number[]): ServiceName | undefined {
+    let totalWeight = 0;
     let best = 0;
     route.targets.forEach((target, index) => {
-      total += target.weight;
-      credits[index] = (credits[index] as number) + target.weight;
-      if ((credits[index] as number) > (credits[best] as number)) {
+      totalWeight += target.weight;
+      currentWeights[index] = (currentWeights[index] as number) + target.weight;
+      if ((currentWeights[index] as number) > (currentWeights[best] as number)) {
         best = index;
       }
     });
-    credits[best] = (credits[best] as number) - total;
+    currentWeights[best] = (currentWeights[best] as number) - totalWeight;
     return route.targets[best]?.service;
   }
 }
