--- a/test/router/request/test-caller-leaves.ts
+++ b/test/router/request/test-caller-leaves.ts
@@ -2,28 +2,28 @@
 import { describe, it } from 'node:test';
 import { SingleDaemon, server } from '../support/single-daemon.js';
 
-/** Beyond every hold, avoidance and retry. */
-const LONG_AFTER = 3_000;
+/** Longer than every hold, avoidance time and retry delay. */
+const LONGEST_WAIT = 3_000;
 const KEY = 5;
 
-/** Brings request 1 to a place where it waits. */
-type Waiting = (daemon: SingleDaemon) => void;
+/** Sends request 1 to the daemon so that it waits for something. */
+type StartWaiting = (daemon: SingleDaemon) => void;
 
-function fill(daemon: SingleDaemon): void {
+function fillServers(daemon: SingleDaemon): void {
   for (const { load } of daemon.state.servers.values()) {
     load.report({ running: 2, waiting: 20, slots: 2, slowdown: null }, daemon.now);
   }
 }
 
-const PLACES: Readonly<Record<string, Waiting>> = {
+const WAITING_REQUESTS: Readonly<Record<string, StartWaiting>> = {
   'for the first configuration': (daemon) => {
     const { configuration } = daemon.state;
     daemon.state.configuration = null;
     daemon.arrive(1, '/read/1');
     daemon.state.configuration = configuration;
   },
-  'for a server that has room': (daemon) => {
-    fill(daemon);
+  'for a server with free capacity': (daemon) => {
+    fillServers(daemon);
     daemon.arrive(1, '/read/1');
   },
   'for the owner of its key': (daemon) => {
@@ -34,12 +34,12 @@
     daemon.arrive(1, '/rack/1', 900, KEY);
     daemon.ended(1, 1, { kind: 'lost', reason: 'reset', answerBegun: false, connectionEnded: false });
   },
-  'for a newer view after an owner turned it away': (daemon) => {
+  'for a newer view of ownership after an owner rejected it': (daemon) => {
     daemon.own('s9');
     daemon.arrive(1, '/rack/1', 900, KEY);
     daemon.ended(1, 1, { kind: 'rejected', status: 421, misdirected: true, load: null });
   },
-  'for a permit of a server with a limit': (daemon) => {
+  'for a permit for a server with a rate limit': (daemon) => {
     const changes = ['s2', 's3'].map((id) => ({ id, server: null }));
     daemon.event({ kind: 'serversChanged', changes, revision: 6 });
     daemon.event({ kind: 'serverLimitRead', server: 's1', reading: 1, sentAt: daemon.now });
@@ -51,18 +51,18 @@
   },
 };
 
-describe('a caller that leaves while its request waits', () => {
-  for (const [place, wait] of Object.entries(PLACES)) {
-    it(`${place}: nothing more is sent, and an attempt under way is cancelled`, () => {
+describe('a caller that disconnects while its request waits', () => {
+  for (const [awaited, startWaiting] of Object.entries(WAITING_REQUESTS)) {
+    it(`${awaited}: nothing more is sent, and the attempt in flight is cancelled`, () => {
       const daemon = new SingleDaemon();
-      wait(daemon);
-      const isUnderWay = (daemon.state.requests.get(1)?.server ?? null) !== null;
+      startWaiting(daemon);
+      const isInFlight = (daemon.state.requests.get(1)?.server ?? null) !== null;
       daemon.effects = [];
       daemon.event({ kind: 'callerLeft', requestId: 1, attemptId: 'a-1', isTakenIn: true });
-      expect(daemon.only('cancel').length).toEqual(isUnderWay ? 1 : 0);
+      expect(daemon.only('cancel').length).toEqual(isInFlight ? 1 : 0);
       daemon.event({ kind: 'serversChanged', changes: [{ id: 's7', server: server('s7') }], revision: 7 });
       daemon.own('s8');
-      daemon.ticksUntil(daemon.now + LONG_AFTER);
+      daemon.ticksUntil(daemon.now + LONGEST_WAIT);
       const sent = daemon.only('forward').filter(({ requestId }) => requestId === 1);
       expect(sent).toEqual([]);
       expect(daemon.state.requests.has(1) || daemon.state.early.has(1)).toEqual(false);
--- a/test/router/request/test-cold-admission.ts
+++ b/test/router/request/test-cold-admission.ts
@@ -5,29 +5,29 @@
 import { coldInterval, coldRate } from '../../../src/router/request/cold-admission.js';
 import { Turns } from '../../../src/router/sharing/turns.js';
 
-/** 1.5 times the 4.2 requests a second that a server bears, and 8. */
-const MOST = 14.3;
-const HORIZON = 4_000;
+/** Bound on the requests in a second: 1.5 times the 4.2 requests a second that a cold server can handle, plus 8. */
+const MAX_PER_SECOND = 14.3;
+const DURATION = 4_000;
 const SECOND = 1_000;
 
 interface Fleet {
   readonly daemons: number;
-  /** Requests a second of one daemon that could go to the server. */
+  /** Requests a second that one daemon has for the server. */
   readonly demand: number;
-  /** One daemon in this many is started again in each second, and forgets. */
+  /** One daemon in this many restarts in each second and loses its state. */
   readonly restartOneIn: number;
 }
 
-/** When requests reach one cold server that every daemon likes best. */
-function arrivals({ daemons, demand, restartOneIn }: Fleet, random: SeededRandom): number[] {
-  const interval = coldInterval(MOST, daemons);
+/** Returns the times at which requests reach a cold server that every daemon prefers. */
+function simulateArrivals({ daemons, demand, restartOneIn }: Fleet, random: SeededRandom): number[] {
+  const interval = coldInterval(MAX_PER_SECOND, daemons);
   const sent: number[] = [];
   for (let daemon = 0; daemon < daemons; daemon += 1) {
     let turns = new Turns(random.fraction());
-    // Daemons hear of the server one after the other, and their clocks have nothing in common.
+    // Daemons learn of the server at different times, and their clocks are independent.
     const knownAt = random.fraction() * 500;
     const clock = random.fraction() * 1e6;
-    for (let now = knownAt; now < HORIZON; now += -Math.log(1 - random.fraction()) * (SECOND / demand)) {
+    for (let now = knownAt; now < DURATION; now += -Math.log(1 - random.fraction()) * (SECOND / demand)) {
       if (random.fraction() < 1 / (restartOneIn * demand)) {
         turns = new Turns(random.fraction());
       }
@@ -40,7 +40,7 @@
   return sent.sort((left, right) => left - right);
 }
 
-/** The most requests in any second. */
+/** Returns the maximum number of requests in any second. */
 function busiestSecond(times: readonly number[]): number {
   let busiest = 0;
   let first = 0;
@@ -59,26 +59,26 @@
   restartOneIn: fc.constantFrom(5, 50, 1_000),
 });
 
-describe('what a cold server gets', () => {
-  it('is never more in a second than it may be, of any fleet', () => {
+describe('the requests to a cold server', () => {
+  it('never exceed the bound in any second, whatever the number of daemons', () => {
     fc.assert(
       fc.property(fleets, fc.integer({ min: 1, max: 1e6 }), (fleet, seed) => {
-        return busiestSecond(arrivals(fleet, new SeededRandom(seed))) <= MOST;
+        return busiestSecond(simulateArrivals(fleet, new SeededRandom(seed))) <= MAX_PER_SECOND;
       }),
       { seed: 7, numRuns: 600 },
     );
   });
 
-  it('is a good part of what it may be when every daemon has requests for it', () => {
+  it('use most of the allowed rate when every daemon has requests for it', () => {
     for (const daemons of [11, 74, 570]) {
-      const sent = arrivals({ daemons, demand: 20, restartOneIn: 1e6 }, new SeededRandom(daemons));
-      expect(sent.length > 0.7 * coldRate(MOST) * (HORIZON / SECOND)).toEqual(true);
+      const sent = simulateArrivals({ daemons, demand: 20, restartOneIn: 1e6 }, new SeededRandom(daemons));
+      expect(sent.length > 0.7 * coldRate(MAX_PER_SECOND) * (DURATION / SECOND)).toEqual(true);
     }
   });
 
-  it('is one request a turn of each daemon, however many it has', () => {
+  it('are one for each turn of a daemon, however many requests it has', () => {
     const turns = new Turns(0);
-    const interval = coldInterval(MOST, 11);
+    const interval = coldInterval(MAX_PER_SECOND, 11);
     let sent = 0;
     for (let now = 0; now < interval; now += 5) {
       if (turns.allows(interval, now)) {
--- a/test/router/request/test-leaving-answers.ts
+++ b/test/router/request/test-leaving-answers.ts
@@ -1,44 +1,44 @@
 /*
- * Servers say in their answers that they leave. While the store was away for 12 s, a server's entry could not say so, and a daemon that had
- * passed on an answer which did went on sending it requests for keys that it owned: 9.4 s and 12.3 s after that answer, where 2 s are
- * allowed. Its log had `server_draining` only at 20.46 s, from the entry; the answer had come at 7.71 s, and nothing read that header.
+ * Servers announce in their answers that they are draining. While the store is unavailable, a server's entry can't say so: a daemon that
+ * ignores the header of the answer keeps sending the server requests for keys that it owns. In a store outage of 12 s, such requests came
+ * 9.4 s and 12.3 s after the answer, where 2 s are allowed.
  */
 import { expect } from 'earl';
 import { describe, it } from 'node:test';
 import { server, SingleDaemon } from '../support/single-daemon.js';
 
 const KEY = 7;
-const LEAVING = { leaving: true, rest: null };
+const DRAINING_NOTICE = { leaving: true, rest: null };
 
-/** Servers that requests were sent to. */
+/** Returns the servers that requests were sent to. */
 function sentTo(daemon: SingleDaemon): string[] {
   return daemon.only('forward').map(({ server }) => server);
 }
 
-describe('a server that says in an answer that it leaves', () => {
-  it('gets no request for its keys after the time that leaving servers may still get work', () => {
+describe('a server that announces in an answer that it is draining', () => {
+  it('gets no request for its keys after the time for which draining servers may still get requests', () => {
     const daemon = new SingleDaemon();
     daemon.own('s4');
-    daemon.event({ kind: 'serverNoticed', server: 's4', notice: LEAVING });
+    daemon.event({ kind: 'serverNoticed', server: 's4', notice: DRAINING_NOTICE });
     daemon.ticksUntil(daemon.now + daemon.state.bounds.drain);
     daemon.arrive(1, '/rack/1', 900, KEY);
     expect(sentTo(daemon)).toEqual([]);
   });
 
-  it('gets no other request while others can take it', () => {
+  it('gets no request without a key while another server can take it', () => {
     const daemon = new SingleDaemon();
-    daemon.event({ kind: 'serverNoticed', server: 's1', notice: LEAVING });
-    daemon.event({ kind: 'serverNoticed', server: 's2', notice: LEAVING });
+    daemon.event({ kind: 'serverNoticed', server: 's1', notice: DRAINING_NOTICE });
+    daemon.event({ kind: 'serverNoticed', server: 's2', notice: DRAINING_NOTICE });
     for (let request = 1; request <= 4; request += 1) {
       daemon.arrive(request, '/read/1');
     }
     expect([...new Set(sentTo(daemon))]).toEqual(['s3']);
   });
 
-  it('gets work for a part of the allowed time while all servers of its service leave at once', () => {
+  it('gets requests for a part of the allowed time while all servers of its service drain at once', () => {
     const daemon = new SingleDaemon();
     for (const server of ['s1', 's2', 's3']) {
-      daemon.event({ kind: 'serverNoticed', server, notice: LEAVING });
+      daemon.event({ kind: 'serverNoticed', server, notice: DRAINING_NOTICE });
     }
     daemon.arrive(1, '/read/1');
     expect(sentTo(daemon).length).toEqual(1);
@@ -49,12 +49,12 @@
     expect(daemon.only('answer').at(-1)?.status).toEqual(503);
   });
 
-  it('is not taken back by an entry, by later answers or by a later word of others, and is said once', () => {
+  it('stays draining since the first answer after later entries, answers and updates of other daemons, and is logged once', () => {
     const daemon = new SingleDaemon();
-    daemon.event({ kind: 'serverNoticed', server: 's1', notice: LEAVING });
-    const saidAt = daemon.now;
-    daemon.ticksUntil(saidAt + 500);
-    daemon.event({ kind: 'serverNoticed', server: 's1', notice: LEAVING });
+    daemon.event({ kind: 'serverNoticed', server: 's1', notice: DRAINING_NOTICE });
+    const noticedAt = daemon.now;
+    daemon.ticksUntil(noticedAt + 500);
+    daemon.event({ kind: 'serverNoticed', server: 's1', notice: DRAINING_NOTICE });
     const entry = { ...server('s1'), revision: 7 };
     daemon.event({ kind: 'serversChanged', changes: [{ id: 's1', server: entry }], revision: 7 });
     daemon.event({ kind: 'serversListed', servers: [entry, server('s2'), server('s3')], revision: 8 });
@@ -62,33 +62,33 @@
     daemon.event({ kind: 'peerMessage', link: -1, message: { ...news, servers: [...news.servers] } });
     const draining = { ...entry, draining: true, revision: 9 };
     daemon.event({ kind: 'serversChanged', changes: [{ id: 's1', server: draining }], revision: 9 });
-    expect(daemon.state.servers.get('s1')?.drainingSince).toEqual(saidAt);
+    expect(daemon.state.servers.get('s1')?.drainingSince).toEqual(noticedAt);
     expect(daemon.only('log').filter(({ event }) => event === 'server_says_leaving').length).toEqual(1);
   });
 
-  it('counts from an earlier moment that another daemon tells', () => {
+  it('is draining since an earlier time that another daemon reports', () => {
     const daemon = new SingleDaemon();
-    daemon.event({ kind: 'serverNoticed', server: 's1', notice: LEAVING });
+    daemon.event({ kind: 'serverNoticed', server: 's1', notice: DRAINING_NOTICE });
     const servers = [{ server: 's1', age: 800 }];
     daemon.event({ kind: 'peerMessage', link: -1, message: { kind: 'leavingNews', servers } });
     expect(daemon.state.servers.get('s1')?.drainingSince).toEqual(daemon.now - 800);
   });
 
-  it('is remembered while its entry lapses', () => {
+  it('is still draining when its entry lapses and is written again', () => {
     const daemon = new SingleDaemon();
-    daemon.event({ kind: 'serverNoticed', server: 's1', notice: LEAVING });
-    const saidAt = daemon.now;
+    daemon.event({ kind: 'serverNoticed', server: 's1', notice: DRAINING_NOTICE });
+    const noticedAt = daemon.now;
     daemon.event({ kind: 'serversChanged', changes: [{ id: 's1', server: null }], revision: 7 });
-    daemon.ticksUntil(saidAt + 500);
+    daemon.ticksUntil(noticedAt + 500);
     const entry = { ...server('s1'), revision: 8 };
     daemon.event({ kind: 'serversChanged', changes: [{ id: 's1', server: entry }], revision: 8 });
-    expect(daemon.state.servers.get('s1')?.drainingSince).toEqual(saidAt);
+    expect(daemon.state.servers.get('s1')?.drainingSince).toEqual(noticedAt);
   });
 
-  it('has requests for its keys refused at once when they have not moved by the bound', () => {
+  it('has requests for its keys refused at once when they have not moved within the drain bound', () => {
     const daemon = new SingleDaemon();
     daemon.own('s4');
-    daemon.event({ kind: 'serverNoticed', server: 's4', notice: LEAVING });
+    daemon.event({ kind: 'serverNoticed', server: 's4', notice: DRAINING_NOTICE });
     daemon.ticksUntil(daemon.now + daemon.state.bounds.drain + 40);
     daemon.arrive(1, '/rack/1', 900, KEY);
     expect(daemon.only('answer').map(({ status }) => status)).toEqual([503]);
--- a/test/router/request/test-read-delay.ts
+++ b/test/router/request/test-read-delay.ts
@@ -2,18 +2,18 @@
 import { describe, it } from 'node:test';
 import { SingleDaemon } from '../support/single-daemon.js';
 
-const PATIENCE = 900;
+const CALLER_TIMEOUT = 900;
 const READ_DELAY = 150;
-/** Of the route. */
+/** Latency objective of the route. */
 const OBJECTIVE = 400;
 
-describe('a request that waited unread', () => {
-  // A server was given the caller's whole patience from the moment of reading: it worked on after the caller's deadline.
-  it('leaves its server no more time than its caller has', () => {
+describe('a request that waited unread in its socket', () => {
+  // With the caller's whole timeout counted from the reading, a server would work on after the caller's deadline.
+  it('gives its server no more time than its caller has left', () => {
     const daemon = new SingleDaemon();
-    daemon.arrive(1, '/read/1', PATIENCE, null, READ_DELAY);
+    daemon.arrive(1, '/read/1', CALLER_TIMEOUT, null, READ_DELAY);
     const [sent] = daemon.only('forward');
-    expect(sent?.timeLeft).toEqual(PATIENCE - READ_DELAY);
+    expect(sent?.timeLeft).toEqual(CALLER_TIMEOUT - READ_DELAY);
   });
 
   it('is refused at once when its caller has no time left', () => {
@@ -23,10 +23,10 @@
     expect(daemon.only('answer').map(({ status }) => status)).toEqual([503]);
   });
 
-  it('is refused at once when it can not be in time any more, and callers come back spread over time', () => {
+  it('is refused at once when it cannot be answered in time, with spread retry times', () => {
     const daemon = new SingleDaemon();
     for (let request = 1; request <= 20; request += 1) {
-      daemon.arrive(request, '/read/1', PATIENCE, null, OBJECTIVE);
+      daemon.arrive(request, '/read/1', CALLER_TIMEOUT, null, OBJECTIVE);
     }
     expect(daemon.only('forward')).toEqual([]);
     const answers = daemon.only('answer');
--- a/test/router/request/test-request-lifecycle.ts
+++ b/test/router/request/test-request-lifecycle.ts
@@ -10,12 +10,12 @@
 const LOST: AttemptResult = { kind: 'lost', reason: 'reset', answerBegun: false, connectionEnded: true };
 const REJECTED: AttemptResult = { kind: 'rejected', status: 503, misdirected: false, load: null };
 
-describe('the way of a request', () => {
+describe('the life cycle of a request', () => {
   beforeEach(() => {
     daemon = new SingleDaemon();
   });
 
-  it('refuses with a time to come back before a configuration is known', () => {
+  it('is refused with a retry time before a configuration is known', () => {
     daemon.state.configuration = null;
     daemon.arrive(1, '/read/1');
     daemon.ticksUntil(1_140);
@@ -23,7 +23,7 @@
     expect((daemon.only('answer')[0]?.retryAfter ?? 0) > 0).toEqual(true);
   });
 
-  it('holds a request that comes a moment before the first configuration', () => {
+  it('is held when it arrives shortly before the first configuration', () => {
     daemon.state.configuration = null;
     daemon.arrive(1, '/read/1');
     daemon.ticksUntil(1_080);
@@ -32,7 +32,7 @@
     expect(daemon.only('forward').length).toEqual(1);
   });
 
-  it('forgets a held request whose caller leaves before the first configuration', () => {
+  it('is dropped when its caller disconnects before the first configuration', () => {
     daemon.state.configuration = null;
     daemon.arrive(1, '/read/1');
     daemon.event({ kind: 'callerLeft', requestId: 1, attemptId: '', isTakenIn: true });
@@ -40,13 +40,13 @@
     expect(daemon.only('forward')).toEqual([]);
   });
 
-  it('says 404 only with a configuration in force', () => {
+  it('is answered 404 without a route once a configuration is in force', () => {
     daemon.arrive(1, '/nothing/1');
     expect(daemon.only('answer')[0]?.status).toEqual(404);
   });
 
-  // Found by a played day: a full owner was asked again within 10 ms, shed the request again, and that was that.
-  it('refuses a request at once that a full owner turned away, and says when its queue is shorter', () => {
+  // Sent again within 10 ms, a request is shed again by an owner at capacity and has no attempt left.
+  it("is refused at once when an owner at capacity rejects it, with a retry time from the owner's queue", () => {
     const unit = {
       service: 'racks',
       from: 0,
@@ -69,7 +69,7 @@
     expect(daemon.only('answer')[0]?.retryAfter).toEqual(200);
   });
 
-  it('sends a request again to an owner that turned it away although it has room', () => {
+  it('is sent again to an owner that rejected it with free capacity', () => {
     daemon.own('s9');
     daemon.arrive(1, '/rack/1', 900, 5);
     const load = { running: 1, waiting: 0, slots: 2, slowdown: null };
@@ -77,17 +77,17 @@
     expect(daemon.only('forward').length).toEqual(2);
   });
 
-  it('counts load reports that cannot be read, and says so once', () => {
+  it('has unreadable load reports counted, and logged once', () => {
     for (const requestId of [1, 2, 3]) {
       daemon.arrive(requestId, '/read/1');
       daemon.ended(requestId, 1, { kind: 'answered', status: 200, load: { unreadable: '3;1;4' } });
     }
     expect(daemon.state.counters.malformed_load_reports).toEqual(3);
-    const said = daemon.only('log').filter((line) => line.event === 'malformed_load_report');
-    expect(said.map(({ fields }) => fields['found'])).toEqual(['3;1;4']);
+    const logged = daemon.only('log').filter((line) => line.event === 'malformed_load_report');
+    expect(logged.map(({ fields }) => fields['found'])).toEqual(['3;1;4']);
   });
 
-  it('sends a repeatable request to another server when an attempt is lost', () => {
+  it('is sent to another server after a lost attempt when it is repeatable', () => {
     daemon.arrive(1, '/read/1');
     daemon.ended(1, 1, LOST);
     const sent = daemon.only('forward').map((effect) => effect.server);
@@ -95,7 +95,7 @@
     expect(new Set(sent).size).toEqual(2);
   });
 
-  it('never sends a request again that may have run and may not be repeated', () => {
+  it('is never sent again when it may have run and is not repeatable', () => {
     daemon.arrive(1, '/book/1');
     daemon.ended(1, 1, LOST);
     expect(daemon.only('forward').length).toEqual(1);
@@ -104,13 +104,13 @@
     ]);
   });
 
-  it('sends it again when a server proves that it has not run', () => {
+  it('is sent again when a server proves that it has not run', () => {
     daemon.arrive(1, '/book/1');
     daemon.ended(1, 1, REJECTED);
     expect(daemon.only('forward').length).toEqual(2);
   });
 
-  it('promises that a request has not run only while each attempt was rejected', () => {
+  it('is answered as not run when each attempt was rejected', () => {
     daemon.arrive(1, '/book/1');
     daemon.ended(1, 1, REJECTED);
     daemon.ended(1, 2, REJECTED);
@@ -118,18 +118,18 @@
     expect((daemon.only('answer')[0]?.retryAfter ?? 0) > 0).toEqual(true);
   });
 
-  // Found by a played day of 87 daemons: servers reset the connections that were more than they take.
-  it('keeps to its share of the connections that a server takes', () => {
+  // Servers reset connections beyond their limit, as they did with 87 daemons that did not share it.
+  it("stays within the daemon's share of a server's connection limit", () => {
     daemon.event({ kind: 'serversListed', servers: [{ ...server('s1'), slots: 8 }], revision: 6 });
     daemon.state.daemons = 3;
     for (let requestId = 1; requestId <= 6; requestId += 1) {
       daemon.arrive(requestId, '/read/1');
     }
-    // A server of this service takes 10 connections: 9 are used, 3 by each daemon.
+    // The servers of this service accept 10 connections: 9 are used, 3 by each daemon.
     expect(daemon.only('forward').length).toEqual(3);
   });
 
-  it('goes to no more servers than the route allows', () => {
+  it('is sent to no more servers than the route allows', () => {
     daemon.arrive(1, '/read/1');
     daemon.ended(1, 1, LOST);
     daemon.ended(1, 2, LOST);
@@ -144,7 +144,7 @@
     expect(daemon.only('answer')[0]?.status).toEqual(504);
   });
 
-  it('cancels at once when the caller leaves, and sends nothing more', () => {
+  it('is cancelled at once when its caller disconnects, and not sent again', () => {
     daemon.arrive(1, '/read/1');
     daemon.event({ kind: 'callerLeft', requestId: 1, attemptId: '', isTakenIn: true });
     daemon.ended(1, 1, LOST);
@@ -153,7 +153,7 @@
     expect(daemon.only('answer')).toEqual([]);
   });
 
-  it('sends no work to a draining server', () => {
+  it('is not sent to a draining server', () => {
     for (const id of ['s1', 's2']) {
       daemon.event({
         kind: 'serversChanged',
@@ -167,23 +167,23 @@
     expect(new Set(daemon.only('forward').map((effect) => effect.server))).toEqual(new Set(['s3']));
   });
 
-  // A played day: requests of 200 ms were broken off because an older one at the same server took long.
-  it('leaves a request at a server that is silent only for an older one', () => {
+  // A slow older request at the same server must not cancel requests that take 200 ms.
+  it('stays at a server that is unresponsive only to an older request', () => {
     for (let requestId = 1; requestId <= 3; requestId += 1) {
       daemon.arrive(requestId, '/read/1');
     }
     daemon.ticksUntil(1_300);
-    const busy = daemon.only('forward')[0]?.server;
+    const busyServer = daemon.only('forward')[0]?.server;
     for (let requestId = 10; requestId < 14; requestId += 1) {
       daemon.arrive(requestId, '/read/1');
     }
-    const young = daemon.only('forward').find((effect) => effect.requestId >= 10 && effect.server === busy);
+    const newer = daemon.only('forward').find((effect) => effect.requestId >= 10 && effect.server === busyServer);
     daemon.ticksUntil(1_460);
-    expect(daemon.only('cancel').some((effect) => effect.requestId === young?.requestId)).toEqual(false);
+    expect(daemon.only('cancel').some((effect) => effect.requestId === newer?.requestId)).toEqual(false);
   });
 
-  // Found by a played day with long requests: servers were taken for silent by a guess of 80 ms.
-  it('judges a silent server by how long requests of its service take', () => {
+  // Judged by the assumed service time of 80 ms, servers with long requests would count as unresponsive.
+  it("stays at its server for a time that depends on its service's service time", () => {
     for (let requestId = 1; requestId <= 12; requestId += 1) {
       daemon.arrive(requestId, '/read/1', null);
       daemon.now += 300;
@@ -195,28 +195,28 @@
     expect(daemon.only('cancel')).toEqual([]);
   });
 
-  // Found by a played day and a recorded one: the attempt was broken off, then its retry refused.
-  it('leaves a request at a silent server when no retry is left in the budget', () => {
+  // Without the check of the budget, the attempt is cancelled and then its retry refused.
+  it('stays at an unresponsive server when no retry is left in the budget', () => {
     daemon.arrive(1, '/read/1');
     const budget = daemon.state.budgets.get('logs');
     while (budget?.take() === true) {
-      // Other requests spend what there is.
+      // Spends the whole budget, as other requests would.
     }
     daemon.ticksUntil(1_800);
     expect(daemon.only('cancel')).toEqual([]);
     expect(daemon.only('answer')).toEqual([]);
   });
 
-  // Found by a played day: a server that had become 12 times slower answered nobody in time, so nothing was learned of
-  // it, and every caller in turn was sent there.
-  it('learns from callers that leave that a server is slow, and tries it again later', () => {
+  // A server that becomes 12 times slower answers nothing in time. Without samples from unanswered requests, its estimate stays low and
+  // every request is sent there.
+  it('avoids a server whose callers disconnect before an answer, until a later time', () => {
     const sentTo = (requestId: number): string | undefined =>
       daemon.only('forward').find((effect) => effect.requestId === requestId)?.server;
     const answer = (requestId: number): void => {
       daemon.ended(requestId, 1, { kind: 'answered', status: 200, load: null });
     };
     let requestId = 1;
-    const play = (rounds: number): number => {
+    const sendRequests = (rounds: number): number => {
       let atSlow = 0;
       for (let round = 0; round < rounds; round += 1, requestId += 1) {
         daemon.arrive(requestId, '/book/1');
@@ -230,21 +230,21 @@
       }
       return atSlow;
     };
-    play(15);
-    expect(play(60) <= 3).toEqual(true);
+    sendRequests(15);
+    expect(sendRequests(60) <= 3).toEqual(true);
     daemon.now += 20_000;
-    expect(play(30) >= 1).toEqual(true);
+    expect(sendRequests(30) >= 1).toEqual(true);
   });
 
-  it('breaks nothing off during a planned stop', () => {
+  it('is not cancelled at an unresponsive server during a planned stop', () => {
     daemon.arrive(1, '/read/1', null);
     daemon.event({ kind: 'stopping' });
     daemon.ticksUntil(1_900);
     expect(daemon.only('cancel')).toEqual([]);
   });
 
-  // Found by a played day: the second attempt met the same full owner within 2 ms, and nothing was left to try.
-  it('waits a moment before it sends a request to an owner again that has reset it', () => {
+  // Without a delay, the second attempt meets the same owner at capacity within 2 ms and no attempt is left.
+  it('is sent again to an owner that reset it only after a delay', () => {
     const owner: ServerDescription = { ...server('s9'), service: 'racks' };
     daemon.event({ kind: 'serversChanged', changes: [{ id: 's9', server: owner }], revision: 6 });
     const unit = { service: 'racks', from: 0, to: 65_535, owner: 's9', fence: 3, releasing: null };
@@ -256,8 +256,8 @@
     expect(daemon.only('forward').length).toEqual(2);
   });
 
-  // Found by a played day: after the loss of all daemons each request met owners without leases, and spent the retry budget.
-  it('sends no further request to an owner that has just turned one away, until a moment later', () => {
+  // After the loss of all daemons, requests meet owners without leases; each one sent there spends the retry budget.
+  it('is not sent to an owner that has just rejected another request as misdirected, until a short time later', () => {
     const owner: ServerDescription = { ...server('s9'), service: 'racks' };
     daemon.event({ kind: 'serversChanged', changes: [{ id: 's9', server: owner }], revision: 6 });
     const unit = { service: 'racks', from: 0, to: 65_535, owner: 's9', fence: 3, releasing: null };
--- a/test/router/request/test-zone-requests.ts
+++ b/test/router/request/test-zone-requests.ts
@@ -9,7 +9,7 @@
     daemon = new SingleDaemon();
   });
 
-  it('sends nothing to servers of an evacuated zone, and says so when there is no other', () => {
+  it('sends nothing to servers of an evacuated zone, and refuses requests with that reason when there is no other server', () => {
     daemon.event({ kind: 'evacuationsListed', zones: ['z'], revision: 6 });
     daemon.arrive(1, '/read/1');
     daemon.ticksUntil(1_300);
@@ -22,7 +22,7 @@
     expect(daemon.only('forward').length).toEqual(1);
   });
 
-  it('follows an owner in an evacuated zone for a part of the allowed time only', () => {
+  it('sends to an owner of keys in an evacuated zone for a part of the allowed time only', () => {
     daemon.own('s9');
     daemon.event({ kind: 'evacuationsListed', zones: ['z'], revision: 7 });
     daemon.arrive(1, '/rack/1', 900, 5);
@@ -34,7 +34,7 @@
     expect(daemon.only('answer').at(-1)?.reason).toEqual('the zone of the owner s9 is evacuated');
   });
 
-  it('takes the servers of a zone that comes back for cold', () => {
+  it('treats the servers of a restored zone as cold', () => {
     daemon.event({ kind: 'evacuationsListed', zones: ['z'], revision: 6 });
     daemon.event({ kind: 'evacuationsListed', zones: [], revision: 7 });
     expect(
@@ -42,7 +42,7 @@
     ).toEqual(true);
   });
 
-  it('takes a server for cold when its entry says so again', () => {
+  it('treats a server as cold when its entry says so again', () => {
     const changes = [{ id: 's1', server: { ...server('s1'), warmupLeft: 2_000, revision: 9 } }];
     daemon.event({ kind: 'serversChanged', changes, revision: 9 });
     expect(daemon.state.servers.get('s1')?.coldUntil).toEqual(daemon.now + 2_000);
