--- a/src/router/request/server-load.ts
+++ b/src/router/request/server-load.ts
@@ -47,7 +47,7 @@
   /** Time before which the server gets no new request after a failure or while it is at capacity. */
   avoidUntil: Milliseconds = 0;
   lastAnswerAt: Milliseconds = -1;
-  /** Number of failures since the last answer. */
+  /** Number of failures since the server last answered a request; a rejection is no answer. */
   failures = 0;
   /** Answers since the last report to the leader. */
   readonly untold: UntoldAnswers = { requests: 0, total: 0 };
