--- a/test/router/request/test-request-lifecycle.ts
+++ b/test/router/request/test-request-lifecycle.ts
@@ -177,7 +177,9 @@
     for (let requestId = 10; requestId < 14; requestId += 1) {
       daemon.arrive(requestId, '/read/1');
     }
-    const newer = daemon.only('forward').find((effect) => effect.requestId >= 10 && effect.server === busyServer);
+    const newer = daemon
+      .only('forward')
+      .find((effect) => effect.requestId >= 10 && effect.server === busyServer);
     daemon.ticksUntil(1_460);
     expect(daemon.only('cancel').some((effect) => effect.requestId === newer?.requestId)).toEqual(false);
   });
