--- a/src/router-runtime/router-daemon.ts
+++ b/src/router-runtime/router-daemon.ts
@@ -13,7 +13,7 @@
 import type { Milliseconds } from '../router/model/identifiers.js';
 import type { Platform } from '../router/ports.js';
 import { watchTime } from '../router/news/news-timing.js';
-import { longestReadDelay } from '../router/request/request-arrival.js';
+import { maxReadDelay } from '../router/request/request-arrival.js';
 import { reduce } from '../router/reducer.js';
 import type { RouterBounds } from '../router/router-bounds.js';
 import type { RouterSettings } from '../router/router-settings.js';
@@ -87,7 +87,7 @@
         readDelay: () => this.#loop.unreadFor(this.#now()),
         isOnTime: () => this.#loop.isOnTime(this.#now()),
       },
-      longestReadDelay: (host, target) => longestReadDelay(this.state, host, target),
+      longestReadDelay: (host, target) => maxReadDelay(this.state, host, target),
     });
     this.#peers = new PeerLinks({
       onMessage: (link, message) => this.dispatch({ kind: 'peerMessage', link, message }),
--- a/src/router/limits/limit-readings.ts
+++ b/src/router/limits/limit-readings.ts
@@ -31,8 +31,8 @@
   counters.malformed_limits += 1;
   const service = servers.get(server)?.server.service;
   const profile = service === undefined ? undefined : profiles.get(service);
-  if (profile?.saidUnreadableLimit === false) {
-    profile.saidUnreadableLimit = true;
+  if (profile?.loggedUnreadableLimit === false) {
+    profile.loggedUnreadableLimit = true;
     const found = unreadable.slice(0, LONGEST_QUOTE);
     context.log('malformed_limit', { server, service, found }, 'warn');
   }
--- a/src/router/notices/server-notices.ts
+++ b/src/router/notices/server-notices.ts
@@ -35,8 +35,8 @@
   }
   counters.malformed_rest_requests += 1;
   const profile = profiles.get(service);
-  if (profile?.saidUnreadableRest === false) {
-    profile.saidUnreadableRest = true;
+  if (profile?.loggedUnreadableBackoff === false) {
+    profile.loggedUnreadableBackoff = true;
     const found = rest.unreadable.slice(0, LONGEST_QUOTE);
     context.log('malformed_rest_request', { server: id, service, found }, 'warn');
   }
--- a/src/router/ownership/known-leader.ts
+++ b/src/router/ownership/known-leader.ts
@@ -3,7 +3,7 @@
 import { noteParentsNews } from '../news/news-age.js';
 import { takeEvacuations } from '../news/take-evacuations.js';
 import type { Heartbeat, LeaderIdentity, LeaderNotice } from '../peers/messages.js';
-import { setDaemons } from '../request/request-dispatch.js';
+import { setDaemonCount } from '../request/request-dispatch.js';
 import type { RouterContext } from '../router-context.js';
 import { hastenHeartbeat } from '../tree/heartbeats.js';
 import { follow } from '../tree/parent.js';
@@ -99,7 +99,7 @@
   noteConfirmedRevision(context, heartbeat);
   noteParentsNews(context, heartbeat.newsAge);
   election.leaderRefused = 0;
-  setDaemons(state, heartbeat.daemons);
+  setDaemonCount(state, heartbeat.daemons);
   takeEvacuations(context, heartbeat.evacuations);
   noteVersionsOf(context, heartbeat);
 }
--- a/src/router/ownership/leader-intake.ts
+++ b/src/router/ownership/leader-intake.ts
@@ -1,6 +1,6 @@
 /** What the leader takes in of what it and all daemons below it have seen. */
 import type { Milliseconds } from '../model/identifiers.js';
-import { setDaemons } from '../request/request-dispatch.js';
+import { setDaemonCount } from '../request/request-dispatch.js';
 import type { RouterContext } from '../router-context.js';
 import { daemonsBelow } from '../tree/tree-state.js';
 import { takeKeySamples, takeTimes } from '../tree/reports.js';
@@ -55,5 +55,5 @@
     state.tree.overloaded = false;
     leadership.nextPlanAt = Math.min(leadership.nextPlanAt, leadership.plannedAt + HASTENED_PLAN_INTERVAL);
   }
-  setDaemons(state, leadership.daemonCount.note(1 + daemonsBelow(state.tree, now), now));
+  setDaemonCount(state, leadership.daemonCount.note(1 + daemonsBelow(state.tree, now), now));
 }
--- a/src/router/ownership/leader-plan.ts
+++ b/src/router/ownership/leader-plan.ts
@@ -18,7 +18,7 @@
 import { joinUnits, unitName, type Unit } from './ownership-table.js';
 import { leaseOf } from './server-lease.js';
 import { withoutFinishedReleases, writeTable } from './table-write.js';
-import { COLD_FACTOR } from '../request/request-timing.js';
+import { COLD_SLOWDOWN } from '../request/request-timing.js';
 
 const MILLISECONDS_PER_SECOND = 1_000;
 
@@ -46,7 +46,7 @@
   const pace = leadership.paces.get(id);
   pace?.judge(slots, context.now);
   const workTime =
-    pace?.workTime ?? known.load.serviceTime * (known.coldUntil > context.now ? COLD_FACTOR : 1);
+    pace?.workTime ?? known.load.serviceTime * (known.coldUntil > context.now ? COLD_SLOWDOWN : 1);
   const limit = recentLimit(context, leadership, id) ?? Number.POSITIVE_INFINITY;
   return {
     id,
--- a/src/router/quarantine/quarantine.ts
+++ b/src/router/quarantine/quarantine.ts
@@ -7,7 +7,7 @@
 import type { Milliseconds, ServerId } from '../model/identifiers.js';
 import { headOf, type RequestFingerprint } from '../model/request-fingerprint.js';
 import type { ActiveRequest } from '../request/active-request.js';
-import { cancelAttempt, giveUp } from '../request/request-dispatch.js';
+import { cancelAttempt, endWithOwnAnswer } from '../request/request-dispatch.js';
 import type { RouterContext } from '../router-context.js';
 import type { CrashRecord } from './crash-record.js';
 import { COPIES_FOR_HOLD } from './lost-copies.js';
@@ -198,7 +198,7 @@
 /** Refuses a request that is held back: it has not run, and may come again. */
 export function refuseHeldBack(context: RouterContext, request: ActiveRequest): void {
   context.state.counters.requests_held_back += 1;
-  giveUp(context, request, HOLD_REASON, HOLD_RETRY_AFTER);
+  endWithOwnAnswer(context, request, HOLD_REASON, HOLD_RETRY_AFTER);
 }
 
 /** Ends a request in quarantine: at once, and without a time to come back. */
@@ -206,7 +206,7 @@
   request.mayHaveRun ||= request.server !== null;
   cancelAttempt(context, request, 'cancelled, the request is in quarantine');
   context.state.counters.requests_quarantined += 1;
-  giveUp(context, request, QUARANTINE_REASON, null);
+  endWithOwnAnswer(context, request, QUARANTINE_REASON, null);
 }
 
 /** Puts requests into quarantine whose suspicion has stood for long enough. */
--- a/src/router/reducer.ts
+++ b/src/router/reducer.ts
@@ -47,8 +47,8 @@
   tickStoredQuarantines,
 } from './quarantine/stored-quarantines.js';
 import { receiveAttemptEnded } from './request/attempt-outcome.js';
-import { receiveRequest, tickEarlyRequests } from './request/request-arrival.js';
-import { takePermitAnswers } from './request/request-dispatch.js';
+import { receiveRequest, processEarlyRequests } from './request/request-arrival.js';
+import { processPermitAnswers } from './request/request-dispatch.js';
 import { receiveCallerLeft, tickRequests } from './request/request-ticks.js';
 import { doubtRead, doubtWrite, resume } from './resume.js';
 import { RouterContext } from './router-context.js';
@@ -88,10 +88,10 @@
       return receiveCallerLeft(context, event);
     case 'configuration':
       news.takeConfiguration(context, event, 'store');
-      return tickEarlyRequests(context);
+      return processEarlyRequests(context);
     case 'serversListed':
       news.takeServerList(context, event);
-      tickEarlyRequests(context);
+      processEarlyRequests(context);
       return noteServerChanges(context);
     case 'serversChanged':
       news.takeServerChanges(context, event);
@@ -136,7 +136,7 @@
     tickReports(context);
   } else {
     tickLeader(context, leadership);
-    takePermitAnswers(context, tickPermitBuckets(context, leadership));
+    processPermitAnswers(context, tickPermitBuckets(context, leadership));
     tickLimitProbes(context, leadership);
   }
   tickHeartbeats(context);
@@ -245,11 +245,11 @@
       return leads ? undefined : receiveRedirect(context, message);
     case 'serverNews':
       news.receiveServerNews(context, message, source);
-      tickEarlyRequests(context);
+      processEarlyRequests(context);
       return noteServerChanges(context);
     case 'configurationNews':
       news.receiveConfigurationNews(context, message, source);
-      return tickEarlyRequests(context);
+      return processEarlyRequests(context);
     case 'crashNews':
       return quarantine.receiveCrashNews(context, message, source);
     case 'leavingNews':
@@ -257,8 +257,8 @@
     case 'limitNews':
       return receiveLimitNews(context, message, source);
     case 'permitAsk':
-      return takePermitAnswers(context, receivePermitAsk(context, link, message));
+      return processPermitAnswers(context, receivePermitAsk(context, link, message));
     case 'permitAnswer':
-      return takePermitAnswers(context, route(context, [message]));
+      return processPermitAnswers(context, route(context, [message]));
   }
 }
--- a/src/router/request/active-request.ts
+++ b/src/router/request/active-request.ts
@@ -37,11 +37,11 @@
   /** Whether the server was estimated to have a free slot when the attempt was sent. */
   sentToFreeSlot: boolean;
   /** Whether the attempt in flight used a permit of its server's rate limit. */
-  tookPlace: boolean;
+  usedPermit: boolean;
   /** Time at which a held request is dispatched again. */
   retryAt: Milliseconds;
   /** Servers that the request has been sent to; empty for a request with a key, which can go to the owner only. */
-  readonly tried: ServerId[];
+  readonly triedServers: ServerId[];
   /** Number of attempts that were lost: the server may have run the request, and no whole answer came. */
   lostAttempts: number;
   /**
@@ -52,5 +52,5 @@
   /** Whether a server may have run the request in some attempt. */
   mayHaveRun: boolean;
   /** Outcome of each attempt, for the log. */
-  readonly notes: string[];
+  readonly attemptOutcomes: string[];
 }
--- a/src/router/request/admission-window.ts
+++ b/src/router/request/admission-window.ts
@@ -12,21 +12,21 @@
  * Requests that all daemons together may have in flight for each slot of an owner before any answer: more would make most of the first
  * answers late.
  */
-const FIRST_PER_SLOT = 6;
-const LARGEST_FIRST_WINDOW = 6;
+const INITIAL_REQUESTS_PER_SLOT = 6;
+const MAX_INITIAL_WINDOW = 6;
 /** Small enough for hundreds of daemons that share an owner with room for ten requests. */
-const LEAST_WINDOW = 0.02;
-const MOST_WINDOW = 64;
+const MIN_WINDOW = 0.02;
+const MAX_WINDOW = 64;
 /** Assumed duration of a request before any has been answered. */
-const FIRST_DURATION: Milliseconds = 200;
+const INITIAL_DURATION: Milliseconds = 200;
 /** Answers count as late when their mean duration exceeds this fraction of the latency objective. */
-const LATE_PART = 0.7;
+const LATE_FRACTION = 0.7;
 /** Weight of one answer in the mean duration. Requests differ, so a single long one says little. */
-const ANSWER_WEIGHT = 0.25;
-const AFTER_LATE = 0.75;
-const AFTER_SHED = 0.5;
+const DURATION_SAMPLE_WEIGHT = 0.25;
+const LATE_DECREASE_FACTOR = 0.75;
+const SHED_DECREASE_FACTOR = 0.5;
 /** A full window of quick answers grows a window of one or more by this many requests, and a smaller one by this fraction of itself. */
-const GROWTH = 0.5;
+const WINDOW_INCREASE = 0.5;
 /** A window below one that is not reduced doubles in this time, which is about as long as a key stays hot. */
 const DOUBLING_TIME: Milliseconds = 4_000;
 
@@ -49,7 +49,7 @@
    * @param daemons number of daemons that share the owner
    */
   constructor(slots: number, daemons: number) {
-    this.#size = Math.min(LARGEST_FIRST_WINDOW, equalPart(slots * FIRST_PER_SLOT, daemons));
+    this.#size = Math.min(MAX_INITIAL_WINDOW, equalPart(slots * INITIAL_REQUESTS_PER_SLOT, daemons));
   }
 
   /** Returns whether one more request may be sent while `inFlight` requests are in flight. */
@@ -72,22 +72,22 @@
   /** Records an answer. `inFlight` is the number of other requests in flight at the owner. */
   answered(duration: Milliseconds, objective: Milliseconds, inFlight: number, now: Milliseconds): void {
     const mean = this.#meanDuration ?? duration;
-    this.#meanDuration = mean + (duration - mean) * ANSWER_WEIGHT;
-    if (this.#meanDuration > objective * LATE_PART) {
-      this.#reduce(AFTER_LATE, now - duration, now);
+    this.#meanDuration = mean + (duration - mean) * DURATION_SAMPLE_WEIGHT;
+    if (this.#meanDuration > objective * LATE_FRACTION) {
+      this.#reduce(LATE_DECREASE_FACTOR, now - duration, now);
     } else if (inFlight + 1 >= Math.floor(this.#size)) {
-      this.#size = Math.min(MOST_WINDOW, this.#size + GROWTH * Math.min(this.#size, 1 / this.#size));
+      this.#size = Math.min(MAX_WINDOW, this.#size + WINDOW_INCREASE * Math.min(this.#size, 1 / this.#size));
     }
   }
 
   /** Records that the owner shed a request. */
   shed(sentAt: Milliseconds, now: Milliseconds): void {
-    this.#reduce(AFTER_SHED, sentAt, now);
+    this.#reduce(SHED_DECREASE_FACTOR, sentAt, now);
   }
 
   /** Returns the time between two requests that corresponds to a window below one. */
   #sendInterval(): Milliseconds {
-    return (this.#meanDuration ?? FIRST_DURATION) / this.#size;
+    return (this.#meanDuration ?? INITIAL_DURATION) / this.#size;
   }
 
   #reduce(factor: number, sentAt: Milliseconds, now: Milliseconds): void {
@@ -96,7 +96,7 @@
     }
     this.#reducedAt = now;
     this.#growthAppliedUntil = now;
-    this.#size = Math.max(LEAST_WINDOW, this.#size * factor);
+    this.#size = Math.max(MIN_WINDOW, this.#size * factor);
     this.#nextSendAt = this.#size < 1 ? Math.max(this.#nextSendAt, now + this.#sendInterval()) : now;
   }
 }
--- a/src/router/request/attempt-outcome.ts
+++ b/src/router/request/attempt-outcome.ts
@@ -9,25 +9,32 @@
 import { noteAttemptAt, noteConnectionEnded } from '../quarantine/server-ends.js';
 import { noteOverload } from '../tree/reports.js';
 import type { ActiveRequest } from './active-request.js';
-import { avoidAfterFailure, dispatch, endAttempt, giveUp, logEnd, note } from './request-dispatch.js';
+import {
+  avoidAfterFailure,
+  dispatchRequest,
+  endAttempt,
+  endWithOwnAnswer,
+  recordRequestEnd,
+  recordAttemptOutcome,
+} from './request-dispatch.js';
 import type { ReportedLoad } from './server-load.js';
-import { DEFAULT_RETRY_AFTER, FULL_RETRY_AFTER, HELD_RETRY } from './request-timing.js';
+import { DEFAULT_RETRY_AFTER, OVERLOAD_RETRY_AFTER, HELD_RETRY_INTERVAL } from './request-timing.js';
 
 /** Delay before a request for a key is sent to its owner again after a lost attempt: sent at once, it would fail again. */
-const OWNER_RETRY: Milliseconds = 60;
+const OWNER_RETRY_DELAY: Milliseconds = 60;
 /** A connection that is reset within this time, before any answer, was most likely shed by a server at capacity. */
-const SHED_WITHIN: Milliseconds = 25;
+const MAX_SHED_TIME: Milliseconds = 25;
 /**
  * Number of servers that may have crashed under a request after which it is not sent again for the same call of the caller: a third server
  * might crash, too, and other requests that were at two of these servers would soon be as suspect.
  */
-const MOST_CRASHES_PER_TRY = 2;
+const MAX_POSSIBLE_CRASHES = 2;
 /** A server that has answered within this time counts as alive. */
-const ALIVE_WITHIN: Milliseconds = 400;
+const MAX_ALIVE_ANSWER_AGE: Milliseconds = 400;
 /** Time for which a server at capacity gets no request. */
-const FULL_AVOIDANCE: Milliseconds = 40;
+const OVERLOAD_AVOIDANCE_TIME: Milliseconds = 40;
 /** Maximum number of logged characters of an unreadable value. */
-const LONGEST_QUOTE = 60;
+const MAX_LOGGED_CHARACTERS = 60;
 
 /** Processes the end of an attempt; ignores an attempt that isn't the request's current one. */
 export function receiveAttemptEnded(context: RouterContext, event: AttemptEndedEvent): void {
@@ -35,13 +42,13 @@
   if (request?.attemptNumber !== event.attempt || request.server === null) {
     return;
   }
-  note(context, request, describe(event.result));
+  recordAttemptOutcome(context, request, describeResult(event.result));
   noteAttemptAt(context, request.server, request.attemptStartedAt, event.result);
   const known = endAttempt(context, request);
-  conclude(context, request, known, event.result);
+  processResult(context, request, known, event.result);
 }
 
-function describe(result: AttemptResult): string {
+function describeResult(result: AttemptResult): string {
   switch (result.kind) {
     case 'answered':
       return `answered ${result.status}`;
@@ -52,7 +59,7 @@
   }
 }
 
-function conclude(
+function processResult(
   context: RouterContext,
   request: ActiveRequest,
   known: KnownServer | undefined,
@@ -61,36 +68,36 @@
   const { state, now } = context;
   switch (result.kind) {
     case 'answered':
-      noteAnswered(request, known, takeLoad(context, known, result.load), now);
+      recordAnswer(request, known, recordLoadReport(context, known, result.load), now);
       state.requests.delete(request.id);
       state.counters.answered += 1;
       noteRequestAnswered(context, request, result.status);
-      logEnd(context, request, 'answered', result.status, '');
+      recordRequestEnd(context, request, 'answered', result.status, '');
       return;
     case 'rejected':
       state.counters.attempts_rejected += 1;
-      concludeRejected(context, request, known, result);
+      processRejection(context, request, known, result);
       return;
     case 'notSent':
       state.counters.attempts_not_sent += 1;
       request.attempts -= 1;
-      if (request.tookPlace) {
+      if (request.usedPermit) {
         known?.permits.giveBack(now);
       }
       if (known?.rest.left(now) === 0) {
         avoidAfterFailure(known, now);
       }
-      dispatch(context, request);
+      dispatchRequest(context, request);
       return;
     case 'lost':
       state.counters.attempts_lost += 1;
-      concludeLost(context, request, known, result);
+      processLostAttempt(context, request, known, result);
       return;
   }
 }
 
 /** Records the load that a server reported. An unreadable report is counted, and logged once for each service. */
-function takeLoad(
+function recordLoadReport(
   context: RouterContext,
   known: KnownServer | undefined,
   reading: LoadReading,
@@ -106,15 +113,15 @@
   const { id, service } = known.server;
   const profile = profiles.get(service);
   counters.malformed_load_reports += 1;
-  if (profile?.saidUnreadable === false) {
-    profile.saidUnreadable = true;
-    const found = reading.unreadable.slice(0, LONGEST_QUOTE);
+  if (profile?.loggedUnreadableLoad === false) {
+    profile.loggedUnreadableLoad = true;
+    const found = reading.unreadable.slice(0, MAX_LOGGED_CHARACTERS);
     context.log('malformed_load_report', { server: id, service, found }, 'warn');
   }
   return null;
 }
 
-function noteAnswered(
+function recordAnswer(
   request: ActiveRequest,
   known: KnownServer | undefined,
   load: ReportedLoad | null,
@@ -122,40 +129,45 @@
 ): void {
   const duration = now - request.attemptStartedAt;
   known?.rest.noteAnswered(request.attemptStartedAt);
-  known?.load.answered(duration, now, hasWaited(request, load));
+  known?.load.answered(duration, now, mayHaveWaited(request, load));
   known?.load.window.answered(duration, request.route.latencyObjective, known.load.inFlight.size, now);
 }
 
 /** Returns whether a request may have waited at its server for a slot. */
-function hasWaited(request: ActiveRequest, load: ReportedLoad | null): boolean {
+function mayHaveWaited(request: ActiveRequest, load: ReportedLoad | null): boolean {
   return !request.sentToFreeSlot || (load !== null && load.waiting > 0);
 }
 
-function concludeRejected(
+function processRejection(
   context: RouterContext,
   request: ActiveRequest,
   known: KnownServer | undefined,
   result: Extract<AttemptResult, { kind: 'rejected' }>,
 ): void {
   const { now } = context;
-  const reading = takeLoad(context, known, result.load);
+  const reading = recordLoadReport(context, known, result.load);
   if (known !== undefined && known.rest.left(now) > 0) {
     // The server's back-off decides: the request goes to another server, or is refused with the remaining time.
-    dispatch(context, request);
+    dispatchRequest(context, request);
     return;
   }
   if (request.key !== null && !result.misdirected) {
     noteOverload(context);
   }
-  if (request.key !== null && known !== undefined && reading !== null && hasQueue(reading)) {
+  if (request.key !== null && known !== undefined && reading !== null && isAtCapacity(reading)) {
     known.load.window.shed(request.attemptStartedAt, now);
     const queueTime = (reading.waiting / reading.slots) * known.load.serviceTime;
     const retryAfter = Math.min(queueTime, request.route.latencyObjective) / 2;
-    giveUp(context, request, `the owner ${known.server.id} is full`, Math.max(FULL_RETRY_AFTER, retryAfter));
+    endWithOwnAnswer(
+      context,
+      request,
+      `the owner ${known.server.id} is full`,
+      Math.max(OVERLOAD_RETRY_AFTER, retryAfter),
+    );
     return;
   }
   if (known !== undefined && !result.misdirected) {
-    known.load.avoidUntil = Math.max(known.load.avoidUntil, now + FULL_AVOIDANCE);
+    known.load.avoidUntil = Math.max(known.load.avoidUntil, now + OVERLOAD_AVOIDANCE_TIME);
   }
   if (known !== undefined && result.misdirected && request.key === null) {
     // Another server has the address, so this incarnation has ended.
@@ -164,54 +176,54 @@
   if (request.key !== null && result.misdirected) {
     // This daemon's view of ownership is older than the server's; a newer one arrives soon unless this daemon is cut off.
     noteTurnedAway(context, request.service, request.key);
-    request.retryAt = now + HELD_RETRY;
+    request.retryAt = now + HELD_RETRY_INTERVAL;
     return;
   }
-  dispatch(context, request);
+  dispatchRequest(context, request);
 }
 
 /**
  * Returns whether a server that rejected a request is at capacity by its own load report. A server with free capacity rejects only some
  * requests and may accept this one the next time: refusing at once would double the refusals of an owner that sheds half of its requests.
  */
-function hasQueue({ waiting, slots }: ReportedLoad): boolean {
+function isAtCapacity({ waiting, slots }: ReportedLoad): boolean {
   return waiting >= slots;
 }
 
 /** Returns whether a lost request was shed: an owner that reset it at once but has just answered others is at capacity, not dead. */
-function isShed(request: ActiveRequest, known: KnownServer, now: Milliseconds): boolean {
-  const wasImmediate = now - request.attemptStartedAt < SHED_WITHIN;
-  return wasImmediate && request.key !== null && now - known.load.lastAnswerAt < ALIVE_WITHIN;
+function wasShed(request: ActiveRequest, known: KnownServer, now: Milliseconds): boolean {
+  const wasImmediate = now - request.attemptStartedAt < MAX_SHED_TIME;
+  return wasImmediate && request.key !== null && now - known.load.lastAnswerAt < MAX_ALIVE_ANSWER_AGE;
 }
 
-function noteLost(request: ActiveRequest, known: KnownServer | undefined, now: Milliseconds): void {
+function recordLostAttempt(request: ActiveRequest, known: KnownServer | undefined, now: Milliseconds): void {
   if (known === undefined) {
     return;
   }
   const { load, server } = known;
-  if (isShed(request, known, now)) {
+  if (wasShed(request, known, now)) {
     load.window.shed(request.attemptStartedAt, now);
   } else {
     avoidAfterFailure(known, now);
   }
-  if (now - request.attemptStartedAt < SHED_WITHIN) {
-    load.noteShed(server.slots, now);
+  if (now - request.attemptStartedAt < MAX_SHED_TIME) {
+    load.recordShed(server.slots, now);
   } else {
-    load.abandoned(now - request.attemptStartedAt, now, !request.sentToFreeSlot);
+    load.recordUnanswered(now - request.attemptStartedAt, now, !request.sentToFreeSlot);
   }
 }
 
 /** Returns whether a request must not be sent again because servers, as seen here and by other daemons, may have crashed under it. */
-function mayEndAnotherServer({ state }: RouterContext, request: ActiveRequest): boolean {
+function mayCrashAnotherServer({ state }: RouterContext, request: ActiveRequest): boolean {
   const { possibleCrashes, fingerprint } = request;
   const recordedCrashes = state.crashes.isEmpty ? 0 : state.crashes.endsUnder(fingerprint);
   return (
-    possibleCrashes >= MOST_CRASHES_PER_TRY ||
+    possibleCrashes >= MAX_POSSIBLE_CRASHES ||
     (possibleCrashes > 0 && recordedCrashes + possibleCrashes >= CRASHES_FOR_QUARANTINE)
   );
 }
 
-function concludeLost(
+function processLostAttempt(
   context: RouterContext,
   request: ActiveRequest,
   known: KnownServer | undefined,
@@ -220,29 +232,29 @@
   const { now } = context;
   request.lostAttempts += 1;
   request.mayHaveRun = true;
-  noteLost(request, known, now);
+  recordLostAttempt(request, known, now);
   if (result.connectionEnded) {
     noteConnectionEnded(context, request, known);
     noteRetestLost(context, request);
-    request.possibleCrashes += now - request.attemptStartedAt >= SHED_WITHIN ? 1 : 0;
+    request.possibleCrashes += now - request.attemptStartedAt >= MAX_SHED_TIME ? 1 : 0;
   }
   if (result.answerBegun) {
     context.state.requests.delete(request.id);
     context.state.counters.failed += 1;
-    logEnd(context, request, 'broken_off', 0, result.reason);
+    recordRequestEnd(context, request, 'broken_off', 0, result.reason);
     return;
   }
-  if (result.connectionEnded && mayEndAnotherServer(context, request)) {
-    giveUp(context, request, 'servers ended their connections under it', null);
+  if (result.connectionEnded && mayCrashAnotherServer(context, request)) {
+    endWithOwnAnswer(context, request, 'servers ended their connections under it', null);
     return;
   }
   if (request.route.repeatable && request.key !== null) {
-    request.retryAt = now + OWNER_RETRY;
+    request.retryAt = now + OWNER_RETRY_DELAY;
     return;
   }
   if (request.route.repeatable) {
-    dispatch(context, request);
+    dispatchRequest(context, request);
     return;
   }
-  giveUp(context, request, result.reason, DEFAULT_RETRY_AFTER);
+  endWithOwnAnswer(context, request, result.reason, DEFAULT_RETRY_AFTER);
 }
--- a/src/router/request/cold-admission.ts
+++ b/src/router/request/cold-admission.ts
@@ -15,20 +15,21 @@
  * Number of standard deviations between the mean number of turns in a second and the bound. The turns of many daemons coincide at random,
  * and no second may have more requests than the bound.
  */
-const DEVIATIONS = 5;
+const STANDARD_DEVIATIONS = 5;
 
 /**
  * Returns the mean rate, in requests a second, at which all daemons together may send to one cold server so that no second exceeds the bound.
  *
  * @param maxPerSecond bound on the requests in one second
  */
-export function coldRate(maxPerSecond: number): number {
+export function meanColdRate(maxPerSecond: number): number {
   // Solves m + d * sqrt(m) = maxPerSecond for the mean m. The last factor: one second overlaps turns that begin in SECOND + TURN.
-  const root = (Math.sqrt(DEVIATIONS * DEVIATIONS + 4 * maxPerSecond) - DEVIATIONS) / 2;
+  const root =
+    (Math.sqrt(STANDARD_DEVIATIONS * STANDARD_DEVIATIONS + 4 * maxPerSecond) - STANDARD_DEVIATIONS) / 2;
   return (root * root) / (1 + TURN / SECOND);
 }
 
 /** Returns the time between the starts of two turns of one daemon at one cold server. */
-export function coldInterval(maxPerSecond: number, daemons: number): Milliseconds {
-  return turnInterval(coldRate(maxPerSecond), daemons);
+export function coldTurnInterval(maxPerSecond: number, daemons: number): Milliseconds {
+  return turnInterval(meanColdRate(maxPerSecond), daemons);
 }
--- a/src/router/request/destination.ts
+++ b/src/router/request/destination.ts
@@ -5,40 +5,40 @@
 import type { KnownServer } from '../router-state.js';
 import { equalPart } from '../sharing/equal-part.js';
 import type { ActiveRequest } from './active-request.js';
-import { coldInterval } from './cold-admission.js';
+import { coldTurnInterval } from './cold-admission.js';
 import {
-  awaitPermit,
-  type NoDestination,
-  ownerRefusal,
-  refuse,
-  refuseForLimit,
-  refuseForNow,
-  refuseForRest,
-  refuseFull,
-  untilPlace,
+  createPermitRefusal,
+  type RoutingRefusal,
+  createOwnerRefusal,
+  createRefusal,
+  createLimitRefusal,
+  createTransientRefusal,
+  createBackoffRefusal,
+  createOverloadRefusal,
+  timeUntilPermit,
 } from './refusals.js';
-import { closedGate, type GateTerms } from './server-gates.js';
+import { findIneligibility, type EligibilityContext } from './server-eligibility.js';
 import { selectServer, type SelectionContext } from './server-selection.js';
 
 /** Requests that may wait at a server for each of its slots before the server counts as at capacity. */
-const WAITING_PER_SLOT = 3;
+const MAX_WAITING_PER_SLOT = 3;
 /** A request is not sent to a server without a free slot where it is expected to take more than this fraction of its latency objective. */
-const USEFUL_PART = 0.95;
+const MAX_EXPECTED_TIME_FRACTION = 0.95;
 /** Fraction of a server's connection limit that all daemons together use. */
-const CONNECTION_PART = 0.9;
+const USED_CONNECTION_FRACTION = 0.9;
 /**
  * Fraction of the allowed time for which requests still go to a draining server, or to an owner of keys in an evacuated zone, while its keys
  * move. The remainder is for connections that are slow to open, so that no request arrives after the allowed time.
  */
-const LEAVING_PART = 0.5;
+const GRACE_FRACTION = 0.5;
 /** Requests for a key can go to no other server, and a single failure may be accidental: an owner is skipped only after two. */
-const OWNER_FORGIVEN_FAILURES = 2;
+const OWNER_TOLERATED_FAILURES = 2;
 
 /** Returns the maximum number of this daemon's requests in flight at one server: each takes one of the connections that the server accepts. */
-function mostInFlight(context: RouterContext, service: ServiceName): number {
+function maxInFlightPerServer(context: RouterContext, service: ServiceName): number {
   const { configuration, daemons } = context.state;
   const limit = configuration?.services.get(service)?.connectionLimit ?? Number.POSITIVE_INFINITY;
-  return Math.max(1, Math.floor(equalPart(limit * CONNECTION_PART, daemons)));
+  return Math.max(1, Math.floor(equalPart(limit * USED_CONNECTION_FRACTION, daemons)));
 }
 
 /** Returns the time between two turns of this daemon at a cold server of a service; null: requests to cold servers are not bounded. */
@@ -48,15 +48,15 @@
   if (bounds.coldStart === null || rate === 0) {
     return null;
   }
-  return coldInterval(rate * bounds.coldStart.factor + bounds.coldStart.slack, daemons);
+  return coldTurnInterval(rate * bounds.coldStart.factor + bounds.coldStart.slack, daemons);
 }
 
-function hasNoLimit(): null {
+function withoutLimit(): null {
   return null;
 }
 
 /** Returns the inputs of the eligibility checks for balanced servers, whose requests other servers can take. */
-function gateTerms(context: RouterContext, request: ActiveRequest): GateTerms {
+function balancedEligibilityContext(context: RouterContext, request: ActiveRequest): EligibilityContext {
   const { id, service, route, holdUntil } = request;
   return {
     now: context.now,
@@ -65,124 +65,140 @@
     evacuationGrace: 0,
     toleratedFailures: 0,
     coldInterval: coldIntervalOf(context, service),
-    maxInFlight: mostInFlight(context, service),
-    shareOf: context.state.limits.isEmpty ? hasNoLimit : (server) => limitShareOf(context.state, server),
+    maxInFlight: maxInFlightPerServer(context, service),
+    shareOf: context.state.limits.isEmpty ? withoutLimit : (server) => limitShareOf(context.state, server),
     seeker: { id, priority: route.priority, holdUntil },
   };
 }
 
 /** Returns the inputs of the checks for an owner of keys, which still gets requests for part of the allowed time while its keys move. */
-function ownerTerms(context: RouterContext, request: ActiveRequest): GateTerms {
+function ownerEligibilityContext(context: RouterContext, request: ActiveRequest): EligibilityContext {
   const { drain, evacuation } = context.state.bounds;
   return {
-    ...gateTerms(context, request),
-    drainingGrace: drain * LEAVING_PART,
-    evacuationGrace: (evacuation ?? 0) * LEAVING_PART,
-    toleratedFailures: OWNER_FORGIVEN_FAILURES,
+    ...balancedEligibilityContext(context, request),
+    drainingGrace: drain * GRACE_FRACTION,
+    evacuationGrace: (evacuation ?? 0) * GRACE_FRACTION,
+    toleratedFailures: OWNER_TOLERATED_FAILURES,
   };
 }
 
 /** Returns whether a server would shed a new request, or answer it too late for its latency objective. */
-function isFull({ now }: RouterContext, { load, server }: KnownServer, request: ActiveRequest): boolean {
-  const estimatedInFlight = load.busy(now);
+function isAtCapacity(
+  { now }: RouterContext,
+  { load, server }: KnownServer,
+  request: ActiveRequest,
+): boolean {
+  const estimatedInFlight = load.estimatedInFlight(now);
   if (estimatedInFlight < server.slots) {
     return false;
   }
-  const isLate = load.expectedTime(server.slots, now) > request.route.latencyObjective * USEFUL_PART;
-  return isLate || estimatedInFlight >= server.slots * (1 + WAITING_PER_SLOT);
+  const isLate =
+    load.expectedResponseTime(server.slots, now) >
+    request.route.latencyObjective * MAX_EXPECTED_TIME_FRACTION;
+  return isLate || estimatedInFlight >= server.slots * (1 + MAX_WAITING_PER_SLOT);
 }
 
 /** Returns the owner of a key, or a refusal while this daemon doesn't know that the owner holds the key. */
-function holderOf(context: RouterContext, service: ServiceName, key: number): KnownServer | NoDestination {
+function findOwner(context: RouterContext, service: ServiceName, key: number): KnownServer | RoutingRefusal {
   const { view, servers, doubtedUnits } = context.state;
   const unit = view.unitOf(service, key);
   if (unit === undefined) {
-    return refuse('the key has no owner', true);
+    return createRefusal('the key has no owner', true);
   }
   if (!unit.granted) {
-    return refuse(`the key is on its way to ${unit.owner}`, true);
+    return createRefusal(`the key is on its way to ${unit.owner}`, true);
   }
   if (doubtedUnits.has(unit.fence, context.now)) {
-    return refuse(`the owner ${unit.owner} does not hold the key yet`, true);
+    return createRefusal(`the owner ${unit.owner} does not hold the key yet`, true);
   }
-  return servers.get(unit.owner) ?? refuse(`the owner ${unit.owner} is not listed`, true);
+  return servers.get(unit.owner) ?? createRefusal(`the owner ${unit.owner} is not listed`, true);
 }
 
-function ownerOf(context: RouterContext, request: ActiveRequest, key: number): KnownServer | NoDestination {
-  const known = holderOf(context, request.service, key);
+function selectOwner(
+  context: RouterContext,
+  request: ActiveRequest,
+  key: number,
+): KnownServer | RoutingRefusal {
+  const known = findOwner(context, request.service, key);
   if ('reason' in known) {
     return known;
   }
   const { window, inFlight } = known.load;
-  const ineligibility = closedGate(known, ownerTerms(context, request));
+  const ineligibility = findIneligibility(known, ownerEligibilityContext(context, request));
   const isEligible = ineligibility === null || ineligibility === 'awaits_permit';
-  const hasCapacity = window.allows(inFlight.size, context.now) && !isFull(context, known, request);
+  const hasCapacity = window.allows(inFlight.size, context.now) && !isAtCapacity(context, known, request);
   if (isEligible && !hasCapacity) {
-    return refuseFull(context, known);
+    return createOverloadRefusal(context, known);
   }
-  return ineligibility === null ? known : ownerRefusal(context, request, known, ineligibility);
+  return ineligibility === null ? known : createOwnerRefusal(context, request, known, ineligibility);
 }
 
 /** Selects a server that isn't draining; while all servers of a service drain at once, one that began to drain a short time ago. */
-function chooseServer(
+function selectServerOrDraining(
   candidates: ReadonlyMap<ServerId, KnownServer>,
   selection: SelectionContext,
   drain: Milliseconds,
 ): KnownServer | undefined {
   const chosen = selectServer(candidates.values(), selection);
-  const areAllDraining = chosen === undefined && [...candidates.values()].every(isLeaving);
+  const areAllDraining = chosen === undefined && [...candidates.values()].every(isDraining);
   return areAllDraining
-    ? selectServer(candidates.values(), { ...selection, drainingGrace: drain * LEAVING_PART })
+    ? selectServer(candidates.values(), { ...selection, drainingGrace: drain * GRACE_FRACTION })
     : chosen;
 }
 
-function isLeaving({ drainingSince }: KnownServer): boolean {
+function isDraining({ drainingSince }: KnownServer): boolean {
   return drainingSince !== null;
 }
 
 /** Returns the refusal when no server may get a request; while all servers are backing off or at their limits, it includes the wait. */
-function noServer(context: RouterContext, request: ActiveRequest): NoDestination {
+function refuseWithoutServer(context: RouterContext, request: ActiveRequest): RoutingRefusal {
   const { serversByService, evacuations } = context.state;
   const remaining = [...(serversByService.get(request.service)?.values() ?? [])].filter(
-    (known) => !isLeaving(known),
+    (known) => !isDraining(known),
   );
   const waits = remaining.map((known) => ({
     backoff: known.rest.left(context.now),
-    permit: untilPlace(context, request, known),
+    permit: timeUntilPermit(context, request, known),
   }));
   const left = Math.min(...waits.map(({ backoff, permit }) => Math.max(backoff, permit)));
   if (remaining.length > 0 && left > 0) {
     return waits.every(({ backoff }) => backoff > 0)
-      ? refuseForRest(context, request, 'every server wants rest', left)
-      : refuseForLimit(context, request, 'every server is at its limit, or wants rest', left);
+      ? createBackoffRefusal(context, request, 'every server wants rest', left)
+      : createLimitRefusal(context, request, 'every server is at its limit, or wants rest', left);
   }
-  return refuseForNow(
+  return createTransientRefusal(
     evacuations.isEmpty ? 'no server takes requests' : 'no server outside of evacuated zones takes requests',
   );
 }
 
-function anyServer(context: RouterContext, request: ActiveRequest): KnownServer | NoDestination {
+function selectBalancedServer(context: RouterContext, request: ActiveRequest): KnownServer | RoutingRefusal {
   const { serversByService, identity, random, bounds } = context.state;
   const candidates = serversByService.get(request.service);
   const selection = {
-    ...gateTerms(context, request),
+    ...balancedEligibilityContext(context, request),
     latencyObjective: request.route.latencyObjective,
     zone: identity.zone,
     random,
-    tried: request.tried,
+    tried: request.triedServers,
   };
-  const chosen = candidates === undefined ? undefined : chooseServer(candidates, selection, bounds.drain);
+  const chosen =
+    candidates === undefined ? undefined : selectServerOrDraining(candidates, selection, bounds.drain);
   if (chosen === undefined) {
-    return noServer(context, request);
+    return refuseWithoutServer(context, request);
   }
-  if (isFull(context, chosen, request)) {
-    return refuseForNow('every server is full');
+  if (isAtCapacity(context, chosen, request)) {
+    return createTransientRefusal('every server is full');
   }
-  const ineligibility = closedGate(chosen, { ...selection, drainingGrace: Number.POSITIVE_INFINITY });
-  return ineligibility === 'awaits_permit' ? awaitPermit(context, request, chosen) : chosen;
+  const ineligibility = findIneligibility(chosen, { ...selection, drainingGrace: Number.POSITIVE_INFINITY });
+  return ineligibility === 'awaits_permit' ? createPermitRefusal(context, request, chosen) : chosen;
 }
 
 /** Returns the server that a request goes to now, or why no server may get it. */
-export function findDestination(context: RouterContext, request: ActiveRequest): KnownServer | NoDestination {
-  return request.key === null ? anyServer(context, request) : ownerOf(context, request, request.key);
+export function findDestination(
+  context: RouterContext,
+  request: ActiveRequest,
+): KnownServer | RoutingRefusal {
+  return request.key === null
+    ? selectBalancedServer(context, request)
+    : selectOwner(context, request, request.key);
 }
--- a/src/router/request/refusals.ts
+++ b/src/router/request/refusals.ts
@@ -5,20 +5,20 @@
 import type { KnownServer } from '../router-state.js';
 import { noteOverload } from '../tree/reports.js';
 import type { ActiveRequest } from './active-request.js';
-import { FULL_RETRY_AFTER } from './request-timing.js';
-import type { ClosedGate } from './server-gates.js';
+import { OVERLOAD_RETRY_AFTER } from './request-timing.js';
+import type { Ineligibility } from './server-eligibility.js';
 
 /** Retry times of callers refused for a back-off or a rate limit are spread over this fraction of the wait, after its end. */
-const RETURN_SPREAD = 0.25;
+const RETRY_SPREAD_FRACTION = 0.25;
 /** Minimum spread of the retry times for a rate limit, so that callers don't all come back for the next permit. */
-const LEAST_RETURN_SPREAD: Milliseconds = 200;
+const MIN_LIMIT_RETRY_SPREAD: Milliseconds = 200;
 /** Upper bound of the wait that callers are told, before the spread is added; a server may ask for a back-off without an end. */
-const LONGEST_RETRY_AFTER: Milliseconds = 3_600_000;
+const MAX_RETRY_AFTER: Milliseconds = 3_600_000;
 /** Time after which a caller should retry when the owner of its key can't be reached now. */
 const OWNER_RETRY_AFTER: Milliseconds = 200;
 
 /** Why no server may get a request now. */
-export interface NoDestination {
+export interface RoutingRefusal {
   readonly reason: string;
   /** Whether a server may be available if the request is held for a moment. */
   readonly canHold: boolean;
@@ -31,66 +31,73 @@
 }
 
 /** Returns whether a destination is a refusal instead of a server. */
-export function isRefusal(destination: KnownServer | NoDestination): destination is NoDestination {
+export function isRefusal(destination: KnownServer | RoutingRefusal): destination is RoutingRefusal {
   return 'reason' in destination;
 }
 
 /** Returns a refusal for a reason other than a back-off or a rate limit. */
-export function refuse(reason: string, canHold: boolean, retryAfter = OWNER_RETRY_AFTER): NoDestination {
+export function createRefusal(
+  reason: string,
+  canHold: boolean,
+  retryAfter = OWNER_RETRY_AFTER,
+): RoutingRefusal {
   return { reason, canHold, retryAfter, permitFrom: null, isRateLimited: false };
 }
 
 /** Returns a refusal for a condition that ends soon. */
-export function refuseForNow(reason: string): NoDestination {
-  return refuse(reason, true, FULL_RETRY_AFTER);
+export function createTransientRefusal(reason: string): RoutingRefusal {
+  return createRefusal(reason, true, OVERLOAD_RETRY_AFTER);
 }
 
 /** Returns a refusal that lasts for `left`: the request is held only if that ends in time, else refused at once with a retry time. */
-function refuseUntil(
+function createTimedRefusal(
   { now, state }: RouterContext,
   request: ActiveRequest,
   reason: string,
   left: Milliseconds,
   minSpread: Milliseconds,
-): NoDestination {
-  const retryTime = Math.min(left, LONGEST_RETRY_AFTER);
-  const spread = Math.max(retryTime * RETURN_SPREAD, minSpread);
-  return refuse(reason, now + left <= request.holdUntil, retryTime + spread * state.random.fraction());
+): RoutingRefusal {
+  const retryTime = Math.min(left, MAX_RETRY_AFTER);
+  const spread = Math.max(retryTime * RETRY_SPREAD_FRACTION, minSpread);
+  return createRefusal(reason, now + left <= request.holdUntil, retryTime + spread * state.random.fraction());
 }
 
 /** Returns a refusal for a back-off that has `left` to go. */
-export function refuseForRest(
+export function createBackoffRefusal(
   context: RouterContext,
   request: ActiveRequest,
   reason: string,
   left: Milliseconds,
-): NoDestination {
-  return refuseUntil(context, request, reason, left, 0);
+): RoutingRefusal {
+  return createTimedRefusal(context, request, reason, left, 0);
 }
 
 /** Returns a refusal for a rate limit that leaves no permit for the time `left`. */
-export function refuseForLimit(
+export function createLimitRefusal(
   context: RouterContext,
   request: ActiveRequest,
   reason: string,
   left: Milliseconds,
-): NoDestination {
-  return { ...refuseUntil(context, request, reason, left, LEAST_RETURN_SPREAD), isRateLimited: true };
+): RoutingRefusal {
+  return {
+    ...createTimedRefusal(context, request, reason, left, MIN_LIMIT_RETRY_SPREAD),
+    isRateLimited: true,
+  };
 }
 
 /** Returns a refusal that holds the request until a permit for the server's rate limit arrives. */
-export function awaitPermit(
+export function createPermitRefusal(
   context: RouterContext,
   request: ActiveRequest,
   known: KnownServer,
-): NoDestination {
-  const left = untilPlace(context, request, known);
+): RoutingRefusal {
+  const left = timeUntilPermit(context, request, known);
   const reason = `no permit has come in time for ${known.server.id}, which names a limit`;
-  return { ...refuseForLimit(context, request, reason, left), canHold: true, permitFrom: known };
+  return { ...createLimitRefusal(context, request, reason, left), canHold: true, permitFrom: known };
 }
 
 /** Returns the time until a server's rate limit is expected to leave a permit for a request; 0: no limit, or no wait. */
-export function untilPlace(
+export function timeUntilPermit(
   { state, now }: RouterContext,
   request: ActiveRequest,
   { server, permits }: KnownServer,
@@ -100,48 +107,48 @@
 }
 
 /** Returns a refusal because an owner is at capacity, and records the overload. */
-export function refuseFull(context: RouterContext, { server }: KnownServer): NoDestination {
+export function createOverloadRefusal(context: RouterContext, { server }: KnownServer): RoutingRefusal {
   noteOverload(context);
-  return refuseForNow(`the owner ${server.id} is full`);
+  return createTransientRefusal(`the owner ${server.id} is full`);
 }
 
 /** Returns the refusal for an owner of a key that may not get the request now. */
-export function ownerRefusal(
+export function createOwnerRefusal(
   context: RouterContext,
   request: ActiveRequest,
   known: KnownServer,
-  ineligibility: ClosedGate,
-): NoDestination {
+  ineligibility: Ineligibility,
+): RoutingRefusal {
   const { now, state } = context;
   const { server, rest, coldUntil, drainingSince } = known;
   const owner = `the owner ${server.id}`;
   switch (ineligibility) {
     case 'draining':
       // Keys that haven't moved within the drain bound wait for the store, so their requests aren't held.
-      return refuse(`${owner} is leaving`, now - (drainingSince ?? now) <= state.bounds.drain);
+      return createRefusal(`${owner} is leaving`, now - (drainingSince ?? now) <= state.bounds.drain);
     case 'evacuated':
-      return refuse(`the zone of ${owner} is evacuated`, true);
+      return createRefusal(`the zone of ${owner} is evacuated`, true);
     case 'backing_off':
-      return refuseForRest(context, request, `${owner} wants rest`, rest.left(now));
+      return createBackoffRefusal(context, request, `${owner} wants rest`, rest.left(now));
     case 'recovering':
-      return refuseForNow(`${owner} takes one request at a time after its rest`);
+      return createTransientRefusal(`${owner} takes one request at a time after its rest`);
     case 'cold': {
       const retryAfter = Math.max(OWNER_RETRY_AFTER, coldUntil - now);
-      return refuse(`${owner} is cold and takes few requests`, false, retryAfter);
+      return createRefusal(`${owner} is cold and takes few requests`, false, retryAfter);
     }
     case 'unresponsive':
-      return refuse(`${owner} is silent`, false);
+      return createRefusal(`${owner} is silent`, false);
     case 'failing':
-      return refuse(`${owner} fails`, true);
+      return createRefusal(`${owner} fails`, true);
     case 'overloaded':
-      return refuseFull(context, known);
+      return createOverloadRefusal(context, known);
     case 'at_limit': {
       noteOverload(context);
       const reason = `the limit of ${owner} leaves no place in time`;
-      const left = untilPlace(context, request, known);
-      return { ...refuseForLimit(context, request, reason, left), canHold: false };
+      const left = timeUntilPermit(context, request, known);
+      return { ...createLimitRefusal(context, request, reason, left), canHold: false };
     }
     case 'awaits_permit':
-      return awaitPermit(context, request, known);
+      return createPermitRefusal(context, request, known);
   }
 }
--- a/src/router/request/request-arrival.ts
+++ b/src/router/request/request-arrival.ts
@@ -7,54 +7,60 @@
 import type { ActiveRequest } from './active-request.js';
 import { isHeldBack, isKeptBack, refuseHeldBack, refuseQuarantined } from '../quarantine/quarantine.js';
 import { tallyKeys } from '../tree/reports.js';
-import { budgetOf, dispatch } from './request-dispatch.js';
-import { HOLD_PART } from './request-timing.js';
+import { retryBudgetOf, dispatchRequest } from './request-dispatch.js';
+import { HOLD_FRACTION } from './request-timing.js';
 
 /** Status codes of the daemon's own answers. */
 const NOT_FOUND = 404;
 const BAD_REQUEST = 400;
 const UNAVAILABLE = 503;
 /** Time after which a caller should retry when no configuration is known yet. */
-const START_RETRY_AFTER: Milliseconds = 300;
+const NO_CONFIGURATION_RETRY_AFTER: Milliseconds = 300;
 /** A request is held for this long before the first configuration, which is read soon after the start. */
-const START_HOLD: Milliseconds = 120;
+const FIRST_CONFIGURATION_HOLD: Milliseconds = 120;
 /** A request must be read within this fraction of its latency objective: its answer passes through the same event loop and waits as long. */
-const READ_PART = 0.5;
+const MAX_READ_DELAY_FRACTION = 0.5;
 /** Retry times for requests that were read too late begin at this fraction of the latency objective. */
-const LEAST_LATE_RETRY_PART = 0.25;
+const MIN_LATE_RETRY_FRACTION = 0.25;
 /** Spread of the retry times for requests that were read too late, as a fraction of the latency objective: callers return at different times. */
-const LATE_RETRY_SPREAD = 0.5;
+const LATE_RETRY_SPREAD_FRACTION = 0.5;
 /** Maximum number of requests that are held for the first configuration. */
-const MOST_HELD_AT_START = 500;
+const MAX_EARLY_REQUESTS = 500;
 
 /** Admits a request, or holds it until the first configuration and list of servers are known. */
 export function receiveRequest(context: RouterContext, event: RequestArrivedEvent): void {
   const { state, now } = context;
   state.counters.requests += 1;
   if (state.configuration !== null && state.serversRevision !== null) {
-    admit(context, event, state.configuration, now);
-  } else if (state.early.size < MOST_HELD_AT_START) {
+    admitRequest(context, event, state.configuration, now);
+  } else if (state.early.size < MAX_EARLY_REQUESTS) {
     state.early.set(event.requestId, { event, readAt: now });
   } else {
-    refuseUnknown(context, event, UNAVAILABLE, 'no configuration yet', START_RETRY_AFTER);
+    refuseBeforeAdmission(context, event, UNAVAILABLE, 'no configuration yet', NO_CONFIGURATION_RETRY_AFTER);
   }
 }
 
 /** Admits requests that arrived before the first configuration and list of servers, or refuses them once their hold time is over. */
-export function tickEarlyRequests(context: RouterContext): void {
+export function processEarlyRequests(context: RouterContext): void {
   const { early, configuration, serversRevision } = context.state;
   for (const [requestId, { event, readAt }] of early) {
     if (configuration !== null && serversRevision !== null) {
       early.delete(requestId);
-      admit(context, event, configuration, readAt);
-    } else if (context.now - readAt >= START_HOLD) {
+      admitRequest(context, event, configuration, readAt);
+    } else if (context.now - readAt >= FIRST_CONFIGURATION_HOLD) {
       early.delete(requestId);
-      refuseUnknown(context, event, UNAVAILABLE, 'no configuration yet', START_RETRY_AFTER);
+      refuseBeforeAdmission(
+        context,
+        event,
+        UNAVAILABLE,
+        'no configuration yet',
+        NO_CONFIGURATION_RETRY_AFTER,
+      );
     }
   }
 }
 
-function admit(
+function admitRequest(
   context: RouterContext,
   event: RequestArrivedEvent,
   configuration: Configuration,
@@ -63,20 +69,20 @@
   const { state } = context;
   const route = state.routes.match(event.host, event.target);
   if (route === undefined) {
-    refuseUnknown(context, event, NOT_FOUND, 'no route', null);
+    refuseBeforeAdmission(context, event, NOT_FOUND, 'no route', null);
     return;
   }
-  if (event.readDelay >= route.latencyObjective * READ_PART) {
-    refuseReadLate(context, event, route);
+  if (event.readDelay >= route.latencyObjective * MAX_READ_DELAY_FRACTION) {
+    refuseAfterReadDelay(context, event, route);
     return;
   }
   const service = state.rotation.next(route);
   const keyed = service !== undefined && configuration.services.get(service)?.keyed === true;
   if (service === undefined || (keyed && event.key === null)) {
-    refuseUnknown(context, event, BAD_REQUEST, 'the request has no key', null);
+    refuseBeforeAdmission(context, event, BAD_REQUEST, 'the request has no key', null);
     return;
   }
-  budgetOf(context, service).addRequest();
+  retryBudgetOf(context, service).creditRequest();
   const request = createRequest(event, route, service, keyed ? event.key : null, readAt);
   if (isKeptBack(context, request)) {
     refuseQuarantined(context, request);
@@ -90,21 +96,28 @@
   if (request.key !== null) {
     tallyKeys(context, { service: request.service, keys: [request.key], counts: [1] });
   }
-  dispatch(context, request);
+  dispatchRequest(context, request);
 }
 
 /** Returns how long a request may wait unread in its socket; null: the request has no route. */
-export function longestReadDelay({ routes }: RouterState, host: string, target: string): Milliseconds | null {
+export function maxReadDelay({ routes }: RouterState, host: string, target: string): Milliseconds | null {
   const route = routes.match(host, target);
-  return route === undefined ? null : route.latencyObjective * READ_PART;
+  return route === undefined ? null : route.latencyObjective * MAX_READ_DELAY_FRACTION;
 }
 
 /** Refuses a request that can't be answered in time because this daemon's event loop is behind; another daemon may not be. */
-function refuseReadLate(context: RouterContext, event: RequestArrivedEvent, route: Route): void {
+function refuseAfterReadDelay(context: RouterContext, event: RequestArrivedEvent, route: Route): void {
   const { counters, random } = context.state;
   counters.refused_read_late += 1;
-  const retryAfter = route.latencyObjective * (LEAST_LATE_RETRY_PART + LATE_RETRY_SPREAD * random.fraction());
-  refuseUnknown(context, event, UNAVAILABLE, 'it was read too late to be answered in time', retryAfter);
+  const retryAfter =
+    route.latencyObjective * (MIN_LATE_RETRY_FRACTION + LATE_RETRY_SPREAD_FRACTION * random.fraction());
+  refuseBeforeAdmission(
+    context,
+    event,
+    UNAVAILABLE,
+    'it was read too late to be answered in time',
+    retryAfter,
+  );
 }
 
 function createRequest(
@@ -126,23 +139,23 @@
     arrivedAt,
     readDelay: event.readDelay,
     deadlineAt: arrivedAt + timeout,
-    holdUntil: arrivedAt + Math.min(timeout, route.latencyObjective) * HOLD_PART,
+    holdUntil: arrivedAt + Math.min(timeout, route.latencyObjective) * HOLD_FRACTION,
     attempts: 0,
     attemptNumber: 0,
     server: null,
     attemptStartedAt: 0,
     sentToFreeSlot: false,
-    tookPlace: false,
+    usedPermit: false,
     retryAt: 0,
-    tried: [],
+    triedServers: [],
     lostAttempts: 0,
     possibleCrashes: 0,
     mayHaveRun: false,
-    notes: [],
+    attemptOutcomes: [],
   };
 }
 
-function refuseUnknown(
+function refuseBeforeAdmission(
   context: RouterContext,
   event: RequestArrivedEvent,
   status: number,
--- a/src/router/request/request-dispatch.ts
+++ b/src/router/request/request-dispatch.ts
@@ -11,9 +11,9 @@
 import type { PermitAnswer } from '../limits/permit-messages.js';
 import { askPermit, notePermitAnswer } from '../limits/permit-exchange.js';
 import { findDestination } from './destination.js';
-import { isRefusal, type NoDestination } from './refusals.js';
+import { isRefusal, type RoutingRefusal } from './refusals.js';
 import { RetryBudget } from './retry-budget.js';
-import { DEFAULT_RETRY_AFTER, HELD_RETRY } from './request-timing.js';
+import { DEFAULT_RETRY_AFTER, HELD_RETRY_INTERVAL } from './request-timing.js';
 
 const BAD_GATEWAY = 502;
 const UNAVAILABLE = 503;
@@ -27,15 +27,15 @@
   caller_left: 'caller_left',
 };
 /** Maximum number of attempts of a request, including attempts that were never sent. */
-const MOST_ATTEMPT_NUMBERS = 6;
+const MAX_ATTEMPTS_INCLUDING_UNSENT = 6;
 /** A request is no longer sent when less than this fraction of its latency objective is left until its deadline. */
-const LEAST_TIME_PART = 0.1;
+const MIN_TIME_LEFT_FRACTION = 0.1;
 /** Time for which a server is avoided after its first failure; doubles with each further failure up to the maximum. */
-const FIRST_AVOIDANCE: Milliseconds = 150;
-const LONGEST_AVOIDANCE: Milliseconds = 2_000;
+const INITIAL_AVOIDANCE_TIME: Milliseconds = 150;
+const MAX_AVOIDANCE_TIME: Milliseconds = 2_000;
 
 /** Returns the retry budget of a service. */
-export function budgetOf(context: RouterContext, service: string): RetryBudget {
+export function retryBudgetOf(context: RouterContext, service: string): RetryBudget {
   const { budgets, bounds, daemons } = context.state;
   let budget = budgets.get(service);
   if (budget === undefined) {
@@ -46,23 +46,23 @@
 }
 
 /** Sets the number of daemons that share the bounds on all of them. */
-export function setDaemons(state: RouterState, daemons: number): void {
+export function setDaemonCount(state: RouterState, daemons: number): void {
   if (state.daemons !== daemons) {
     state.daemons = daemons;
-    state.budgets.forEach((budget) => budget.shareAmong(daemons));
+    state.budgets.forEach((budget) => budget.setDaemonCount(daemons));
   }
 }
 
 /** Forwards a request to a server, holds it, or ends it with the daemon's own answer. */
-export function dispatch(context: RouterContext, request: ActiveRequest): void {
+export function dispatchRequest(context: RouterContext, request: ActiveRequest): void {
   const { state, now } = context;
   const { route } = request;
-  if (request.deadlineAt - now < route.latencyObjective * LEAST_TIME_PART) {
-    giveUp(context, request, 'too little time is left', DEFAULT_RETRY_AFTER);
+  if (request.deadlineAt - now < route.latencyObjective * MIN_TIME_LEFT_FRACTION) {
+    endWithOwnAnswer(context, request, 'too little time is left', DEFAULT_RETRY_AFTER);
     return;
   }
-  if (request.attempts >= route.maxAttempts || request.attemptNumber >= MOST_ATTEMPT_NUMBERS) {
-    giveUp(context, request, 'no attempt is left', DEFAULT_RETRY_AFTER);
+  if (request.attempts >= route.maxAttempts || request.attemptNumber >= MAX_ATTEMPTS_INCLUDING_UNSENT) {
+    endWithOwnAnswer(context, request, 'no attempt is left', DEFAULT_RETRY_AFTER);
     return;
   }
   const destination = findDestination(context, request);
@@ -70,42 +70,42 @@
     holdOrRefuse(context, request, destination);
     return;
   }
-  if (request.attempts > 0 && !budgetOf(context, request.service).take()) {
+  if (request.attempts > 0 && !retryBudgetOf(context, request.service).tryTake()) {
     state.counters.retries_over_budget += 1;
-    giveUp(context, request, 'the retry budget is spent', DEFAULT_RETRY_AFTER);
+    endWithOwnAnswer(context, request, 'the retry budget is spent', DEFAULT_RETRY_AFTER);
     return;
   }
-  forward(context, request, destination);
+  forwardRequest(context, request, destination);
 }
 
 /** Holds a request if it may be sent in time, and asks for the permit that it needs; otherwise ends it. */
-function holdOrRefuse(context: RouterContext, request: ActiveRequest, refusal: NoDestination): void {
+function holdOrRefuse(context: RouterContext, request: ActiveRequest, refusal: RoutingRefusal): void {
   const { state, now } = context;
   const { canHold, permitFrom, isRateLimited, reason, retryAfter } = refusal;
-  if (!canHold || now + HELD_RETRY > request.holdUntil) {
+  if (!canHold || now + HELD_RETRY_INTERVAL > request.holdUntil) {
     state.counters.refused_at_limits += isRateLimited ? 1 : 0;
-    giveUp(context, request, reason, retryAfter);
+    endWithOwnAnswer(context, request, reason, retryAfter);
     return;
   }
-  request.retryAt = now + HELD_RETRY;
+  request.retryAt = now + HELD_RETRY_INTERVAL;
   if (permitFrom !== null) {
     const seeker = { id: request.id, priority: request.route.priority, holdUntil: request.holdUntil };
-    takePermitAnswers(context, askPermit(context, seeker, permitFrom));
+    processPermitAnswers(context, askPermit(context, seeker, permitFrom));
   }
 }
 
 /** Records answers to this daemon's requests for permits, and dispatches the held requests that waited for them. */
-export function takePermitAnswers(context: RouterContext, answers: readonly PermitAnswer[]): void {
+export function processPermitAnswers(context: RouterContext, answers: readonly PermitAnswer[]): void {
   for (const answer of answers) {
     notePermitAnswer(context, answer);
     const request = context.state.requests.get(answer.requestId);
     if (request?.server === null) {
-      dispatch(context, request);
+      dispatchRequest(context, request);
     }
   }
 }
 
-function forward(context: RouterContext, request: ActiveRequest, known: KnownServer): void {
+function forwardRequest(context: RouterContext, request: ActiveRequest, known: KnownServer): void {
   const { counters } = context.state;
   counters.attempts += 1;
   counters.retries += request.attempts > 0 ? 1 : 0;
@@ -113,11 +113,11 @@
   request.attemptNumber += 1;
   request.server = known.server.id;
   request.attemptStartedAt = context.now;
-  request.sentToFreeSlot = known.load.busy(context.now) < known.server.slots;
+  request.sentToFreeSlot = known.load.estimatedInFlight(context.now) < known.server.slots;
   if (request.key === null) {
-    request.tried.push(known.server.id);
+    request.triedServers.push(known.server.id);
   }
-  takePlace(context, request, known);
+  usePermit(context, request, known);
   known.load.inFlight.set(request.id, context.now);
   known.coldTurns.use(context.now);
   known.load.window.sent(context.now);
@@ -133,15 +133,15 @@
   });
 }
 
-function takePlace({ state, now }: RouterContext, request: ActiveRequest, known: KnownServer): void {
-  request.tookPlace = state.limits.of(known.server.id) !== null;
-  if (request.tookPlace) {
+function usePermit({ state, now }: RouterContext, request: ActiveRequest, known: KnownServer): void {
+  request.usedPermit = state.limits.of(known.server.id) !== null;
+  if (request.usedPermit) {
     known.permits.use(now);
   }
 }
 
 /** Ends a request with the daemon's own answer: a failure if the request may have run, else a refusal. */
-export function giveUp(
+export function endWithOwnAnswer(
   context: RouterContext,
   request: ActiveRequest,
   reason: string,
@@ -156,11 +156,11 @@
   state.counters[failed ? 'failed' : 'refused'] += 1;
   const answerRetryAfter = failed ? null : retryAfter;
   context.emit({ kind: 'answer', requestId: request.id, status, reason, retryAfter: answerRetryAfter });
-  logEnd(context, request, failed ? 'failed' : 'refused', status, reason);
+  recordRequestEnd(context, request, failed ? 'failed' : 'refused', status, reason);
 }
 
 /** Records the end of a request in the log and the latency histograms. */
-export function logEnd(
+export function recordRequestEnd(
   context: RouterContext,
   request: ActiveRequest,
   outcome: RequestOutcome,
@@ -179,7 +179,7 @@
     configuration: state.configuration?.version ?? null,
     ownership: request.key === null ? null : `${state.view.term}.${state.view.sequence}`,
     servers: state.serversRevision,
-    attempts: request.notes,
+    attempts: request.attemptOutcomes,
     milliseconds: Math.round(now - request.arrivedAt),
     ...(request.readDelay >= 1 ? { read_delay: Math.round(request.readDelay) } : {}),
     ...(request.lostAttempts > 0 ? { fingerprint: request.fingerprint.value } : {}),
@@ -195,9 +195,9 @@
 }
 
 /** Records the outcome of an attempt, for the log. */
-export function note(context: RouterContext, request: ActiveRequest, outcome: string): void {
+export function recordAttemptOutcome(context: RouterContext, request: ActiveRequest, outcome: string): void {
   const duration = Math.round(context.now - request.attemptStartedAt);
-  request.notes.push(`${request.server ?? '-'} ${outcome} after ${duration} ms`);
+  request.attemptOutcomes.push(`${request.server ?? '-'} ${outcome} after ${duration} ms`);
 }
 
 /** Cancels the attempt in flight, if there is one. */
@@ -205,17 +205,17 @@
   if (request.server === null) {
     return;
   }
-  note(context, request, reason);
+  recordAttemptOutcome(context, request, reason);
   context.emit({ kind: 'cancel', requestId: request.id, attempt: request.attemptNumber });
   const known = endAttempt(context, request);
-  known?.load.abandoned(context.now - request.attemptStartedAt, context.now, !request.sentToFreeSlot);
+  known?.load.recordUnanswered(context.now - request.attemptStartedAt, context.now, !request.sentToFreeSlot);
 }
 
 /** Records a failure of a server and avoids the server for a time that grows with its failures. */
 export function avoidAfterFailure(known: KnownServer | undefined, now: Milliseconds): void {
   if (known !== undefined) {
     const { load } = known;
-    load.avoidUntil = now + Math.min(LONGEST_AVOIDANCE, FIRST_AVOIDANCE * 2 ** load.failures);
+    load.avoidUntil = now + Math.min(MAX_AVOIDANCE_TIME, INITIAL_AVOIDANCE_TIME * 2 ** load.failures);
     load.failures += 1;
   }
 }
--- a/src/router/request/retry-budget.ts
+++ b/src/router/request/retry-budget.ts
@@ -14,7 +14,7 @@
 }
 
 /** Fraction of the bound that is used; the rest covers daemons that start and windows that overlap. */
-const USED_PART = 0.8;
+const USED_FRACTION = 0.8;
 
 /** Retry budget of one service at one daemon. */
 export class RetryBudget {
@@ -25,20 +25,20 @@
   /** @param daemons number of daemons that share the budget */
   constructor(limits: RetryBudgetLimits, daemons: number) {
     this.#limits = limits;
-    this.#capacity = equalPart(limits.extra * USED_PART, daemons);
+    this.#capacity = equalPart(limits.extra * USED_FRACTION, daemons);
     // A daemon that has just restarted may have spent its part in its previous incarnation.
     this.#tokens = this.#capacity / 2;
   }
 
   /** Sets the number of daemons that share the budget. */
-  shareAmong(daemons: number): void {
-    this.#capacity = equalPart(this.#limits.extra * USED_PART, daemons);
+  setDaemonCount(daemons: number): void {
+    this.#capacity = equalPart(this.#limits.extra * USED_FRACTION, daemons);
     this.#tokens = Math.min(this.#tokens, this.#capacity);
   }
 
   /** Adds the tokens for a request from a caller. */
-  addRequest(): void {
-    this.#tokens = Math.min(this.#capacity, this.#tokens + this.#limits.ratio * USED_PART);
+  creditRequest(): void {
+    this.#tokens = Math.min(this.#capacity, this.#tokens + this.#limits.ratio * USED_FRACTION);
   }
 
   /** Whether the budget has a token for a retry. */
@@ -47,7 +47,7 @@
   }
 
   /** Takes the token for one retry; returns false when none is left. */
-  take(): boolean {
+  tryTake(): boolean {
     if (!this.hasRetry) {
       return false;
     }
--- a/src/router/request/server-gates.ts
+++ b/src/router/request/server-eligibility.ts
@@ -12,7 +12,7 @@
 import type { ServerLoad } from './server-load.js';
 
 /** A server with the state that the checks depend on. */
-export interface GatedServer {
+export interface CandidateServer {
   readonly server: ServerDescription;
   readonly load: ServerLoad;
   /** Time until which the server is cold after its start. */
@@ -28,7 +28,7 @@
 }
 
 /** Inputs of the checks that are the same for all servers of a service. */
-export interface GateTerms {
+export interface EligibilityContext {
   readonly now: Milliseconds;
   readonly evacuations: ZoneEvacuations;
   /** Time from the start of draining for which a server still gets requests. */
@@ -48,7 +48,7 @@
 }
 
 /** Why a server may not get a request now. */
-export type ClosedGate =
+export type Ineligibility =
   | 'draining'
   | 'evacuated'
   | 'backing_off'
@@ -64,13 +64,13 @@
   | 'awaits_permit';
 
 /** Returns why a server may not get a request now, or null when it may. */
-export function closedGate(known: GatedServer, context: GateTerms): ClosedGate | null {
+export function findIneligibility(known: CandidateServer, context: EligibilityContext): Ineligibility | null {
   const { now } = context;
   const { load, rest } = known;
-  if (isGone(known, context)) {
+  if (isPastDrainingGrace(known, context)) {
     return 'draining';
   }
-  if (isEvacuated(known, context)) {
+  if (isPastEvacuationGrace(known, context)) {
     return 'evacuated';
   }
   if (rest.left(now) > 0) {
@@ -79,19 +79,22 @@
   if (!rest.allows(load.inFlight.size, now)) {
     return 'recovering';
   }
-  if (!mayStartCold(known, context)) {
+  if (!isAllowedWhileCold(known, context)) {
     return 'cold';
   }
-  if (load.isSilent(now)) {
+  if (load.isUnresponsive(now)) {
     return 'unresponsive';
   }
   if (load.avoidUntil > now && load.failures >= context.toleratedFailures) {
     return 'failing';
   }
-  return load.inFlight.size >= context.maxInFlight ? 'overloaded' : limitGate(known, context);
+  return load.inFlight.size >= context.maxInFlight ? 'overloaded' : checkRateLimit(known, context);
 }
 
-function limitGate({ server, permits }: GatedServer, { shareOf, seeker, now }: GateTerms): ClosedGate | null {
+function checkRateLimit(
+  { server, permits }: CandidateServer,
+  { shareOf, seeker, now }: EligibilityContext,
+): Ineligibility | null {
   const share = shareOf(server.id);
   const permit = share === null ? 'free' : permits.placeFor(seeker, share, now);
   switch (permit) {
@@ -104,16 +107,25 @@
   }
 }
 
-function isGone({ drainingSince }: GatedServer, { now, drainingGrace }: GateTerms): boolean {
+function isPastDrainingGrace(
+  { drainingSince }: CandidateServer,
+  { now, drainingGrace }: EligibilityContext,
+): boolean {
   return drainingSince !== null && now - drainingSince >= drainingGrace;
 }
 
-function isEvacuated({ server }: GatedServer, { now, evacuations, evacuationGrace }: GateTerms): boolean {
+function isPastEvacuationGrace(
+  { server }: CandidateServer,
+  { now, evacuations, evacuationGrace }: EligibilityContext,
+): boolean {
   const age = evacuations.age(server.zone, now);
   return age !== null && age >= evacuationGrace;
 }
 
 /** Returns whether the server is warm, or is cold and this daemon has a turn there. */
-function mayStartCold({ coldUntil, coldTurns }: GatedServer, { coldInterval, now }: GateTerms): boolean {
+function isAllowedWhileCold(
+  { coldUntil, coldTurns }: CandidateServer,
+  { coldInterval, now }: EligibilityContext,
+): boolean {
   return coldUntil <= now || coldInterval === null || coldTurns.allows(coldInterval, now);
 }
--- a/src/router/request/server-load.ts
+++ b/src/router/request/server-load.ts
@@ -4,22 +4,22 @@
 import { ServiceProfile } from './service-profile.js';
 
 /** The estimate of other daemons' requests at a server decays by a factor of e in this time. */
-const LOAD_MEMORY: Milliseconds = 400;
+const LOAD_DECAY_TIME: Milliseconds = 400;
 /** A slowdown that a server reported decays by a factor of e in this time; the true value changes many times a second. */
-const SLOWDOWN_MEMORY: Milliseconds = 300;
+const SLOWDOWN_DECAY_TIME: Milliseconds = 300;
 /** Weight of a new load report against the decayed estimate. */
-const REPORT_WEIGHT = 0.7;
+const LOAD_REPORT_WEIGHT = 0.7;
 /** Weight of a new sample in the average service time. */
-const SERVICE_TIME_WEIGHT = 0.1;
+const SERVICE_TIME_SAMPLE_WEIGHT = 0.1;
 /** Weight of the duration of an unanswered request, which would have taken longer still. */
-const ABANDONED_WEIGHT = 0.2;
+const UNANSWERED_SAMPLE_WEIGHT = 0.2;
 /** A server's own service time decays towards its service's mean by a factor of e in this time, so that a slow server is tried again. */
-const SERVICE_TIME_MEMORY: Milliseconds = 6_000;
+const SERVICE_TIME_DECAY_TIME: Milliseconds = 6_000;
 /** A server counts as unresponsive once a request is unanswered for this many times the usual service time, and for at least this long. */
-const SUSPICION_FACTOR = 4;
-const SUSPICION_FLOOR: Milliseconds = 400;
+const UNRESPONSIVE_FACTOR = 4;
+const MIN_UNRESPONSIVE_TIME: Milliseconds = 400;
 /** Minimum time until a server counts as unresponsive while its service has too few samples. */
-const SUSPICION_FLOOR_UNKNOWN: Milliseconds = 1_000;
+const MIN_UNRESPONSIVE_TIME_UNKNOWN_SERVICE: Milliseconds = 1_000;
 
 /** Load that a server reports with an answer. */
 export interface ReportedLoad {
@@ -31,7 +31,7 @@
 }
 
 /** Figures on a server's answers that this daemon hasn't reported to the leader yet. */
-export interface UntoldAnswers {
+export interface UnreportedAnswers {
   /** Number of answers, including answers to requests that waited for a slot. */
   requests: number;
   /** Total time that requests were at the server, including unanswered ones. */
@@ -50,7 +50,7 @@
   /** Number of failures since the server last answered a request; a rejection is no answer. */
   failures = 0;
   /** Answers since the last report to the leader. */
-  readonly untold: UntoldAnswers = { requests: 0, total: 0 };
+  readonly unreported: UnreportedAnswers = { requests: 0, total: 0 };
   readonly #profile: ServiceProfile;
   /** Average time of a request on an idle slot of this server; null before the first sample. */
   #serverTime: Milliseconds | null = null;
@@ -76,21 +76,21 @@
   }
 
   /** Returns the estimated number of other daemons' requests at the server; old reports count little. */
-  others(now: Milliseconds): number {
-    return this.#otherRequests * Math.exp((this.#reportedAt - now) / LOAD_MEMORY);
+  otherRequests(now: Milliseconds): number {
+    return this.#otherRequests * Math.exp((this.#reportedAt - now) / LOAD_DECAY_TIME);
   }
 
   /** Records the load that the server reported with an answer. */
   report(load: ReportedLoad, now: Milliseconds): void {
     const reported = Math.max(0, load.running + load.waiting - this.inFlight.size);
-    const previous = this.others(now);
-    this.#otherRequests = previous + (reported - previous) * REPORT_WEIGHT;
+    const previous = this.otherRequests(now);
+    this.#otherRequests = previous + (reported - previous) * LOAD_REPORT_WEIGHT;
     this.#slowdown = load.slowdown ?? 1;
     this.#reportedAt = now;
   }
 
   /** Records that the server shed a request without a load report: it is assumed to have as many requests waiting as it has slots. */
-  noteShed(slots: number, now: Milliseconds): void {
+  recordShed(slots: number, now: Milliseconds): void {
     this.report({ running: slots, waiting: slots, slots, slowdown: null }, now);
   }
 
@@ -98,11 +98,11 @@
   answered(duration: Milliseconds, now: Milliseconds, waited: boolean): void {
     this.lastAnswerAt = now;
     this.failures = 0;
-    this.untold.requests += 1;
-    this.untold.total += duration;
+    this.unreported.requests += 1;
+    this.unreported.total += duration;
     if (!waited) {
-      this.#profile.add(duration);
-      this.#addSample(duration, SERVICE_TIME_WEIGHT, now);
+      this.#profile.addSample(duration);
+      this.#addSample(duration, SERVICE_TIME_SAMPLE_WEIGHT, now);
     }
   }
 
@@ -115,36 +115,36 @@
   /** Returns this server's service time, decayed towards its service's mean with the age of the last sample. */
   #decayedTime(now: Milliseconds): Milliseconds {
     const { mean } = this.#profile;
-    const decay = Math.exp((this.#sampledAt - now) / SERVICE_TIME_MEMORY);
+    const decay = Math.exp((this.#sampledAt - now) / SERVICE_TIME_DECAY_TIME);
     return this.#serverTime === null ? mean : mean + (this.#serverTime - mean) * decay;
   }
 
   /** Records that a request ended without an answer after `duration`; `waited` is whether it may have waited for a slot of the server. */
-  abandoned(duration: Milliseconds, now: Milliseconds, waited: boolean): void {
-    this.untold.total += duration;
+  recordUnanswered(duration: Milliseconds, now: Milliseconds, waited: boolean): void {
+    this.unreported.total += duration;
     if (!waited && duration > this.serviceTime) {
-      this.#addSample(duration, ABANDONED_WEIGHT, now);
+      this.#addSample(duration, UNANSWERED_SAMPLE_WEIGHT, now);
     }
   }
 
   /** Returns the estimated number of requests at the server, from this and other daemons. */
-  busy(now: Milliseconds): number {
-    return this.inFlight.size + this.others(now);
+  estimatedInFlight(now: Milliseconds): number {
+    return this.inFlight.size + this.otherRequests(now);
   }
 
   /** Returns the expected time until a new request at the server is answered. */
-  expectedTime(slots: number, now: Milliseconds): Milliseconds {
-    const queuedRounds = Math.max(0, this.busy(now) + 1 - slots) / slots;
+  expectedResponseTime(slots: number, now: Milliseconds): Milliseconds {
+    const queuedRounds = Math.max(0, this.estimatedInFlight(now) + 1 - slots) / slots;
     return this.#decayedTime(now) * (1 + queuedRounds);
   }
 
   /** Returns the expected slowdown of the server as a multiple of its usual time; an old report counts little. */
   slowdown(now: Milliseconds): number {
-    return 1 + (this.#slowdown - 1) * Math.exp((this.#reportedAt - now) / SLOWDOWN_MEMORY);
+    return 1 + (this.#slowdown - 1) * Math.exp((this.#reportedAt - now) / SLOWDOWN_DECAY_TIME);
   }
 
   /** Returns whether the oldest request in flight is unanswered for too long while no other request has been answered since it was sent. */
-  isSilent(now: Milliseconds): boolean {
+  isUnresponsive(now: Milliseconds): boolean {
     for (const sentAt of this.inFlight.values()) {
       // The first entry is the oldest one, since entries are in the order of sending.
       return now - sentAt > this.#unresponsiveTimeout() && this.lastAnswerAt < sentAt;
@@ -154,7 +154,9 @@
 
   /** Takes the larger of the server's and its service's mean: requests differ more than servers do, so a quick record proves little. */
   #unresponsiveTimeout(): Milliseconds {
-    const floor = this.#profile.isKnown ? SUSPICION_FLOOR : SUSPICION_FLOOR_UNKNOWN;
-    return Math.max(floor, SUSPICION_FACTOR * Math.max(this.serviceTime, this.#profile.mean));
+    const floor = this.#profile.hasEnoughSamples
+      ? MIN_UNRESPONSIVE_TIME
+      : MIN_UNRESPONSIVE_TIME_UNKNOWN_SERVICE;
+    return Math.max(floor, UNRESPONSIVE_FACTOR * Math.max(this.serviceTime, this.#profile.mean));
   }
 }
--- a/src/router/tree/reports.ts
+++ b/src/router/tree/reports.ts
@@ -29,10 +29,10 @@
   const times: ServerTimes[] = tree.times;
   tree.times = [];
   for (const { server, load } of servers.values()) {
-    const { requests, total } = load.untold;
+    const { requests, total } = load.unreported;
     if (total > 0) {
-      load.untold.requests = 0;
-      load.untold.total = 0;
+      load.unreported.requests = 0;
+      load.unreported.total = 0;
       if (configuration?.services.get(server.service)?.keyed === true) {
         times.push({ server: server.id, requests, total });
       }
--- a/test/router/request/test-cold-admission.ts
+++ b/test/router/request/test-cold-admission.ts
@@ -2,7 +2,7 @@
 import fc from 'fast-check';
 import { describe, it } from 'node:test';
 import { SeededRandom } from '../../../src/core/random.js';
-import { coldInterval, coldRate } from '../../../src/router/request/cold-admission.js';
+import { coldTurnInterval, meanColdRate } from '../../../src/router/request/cold-admission.js';
 import { Turns } from '../../../src/router/sharing/turns.js';
 
 /** Bound on the requests in a second: 1.5 times the 4.2 requests a second that a cold server can handle, plus 8. */
@@ -20,7 +20,7 @@
 
 /** Returns the times at which requests reach a cold server that every daemon prefers. */
 function simulateArrivals({ daemons, demand, restartOneIn }: Fleet, random: SeededRandom): number[] {
-  const interval = coldInterval(MAX_PER_SECOND, daemons);
+  const interval = coldTurnInterval(MAX_PER_SECOND, daemons);
   const sent: number[] = [];
   for (let daemon = 0; daemon < daemons; daemon += 1) {
     let turns = new Turns(random.fraction());
@@ -72,13 +72,13 @@
   it('use most of the allowed rate when every daemon has requests for it', () => {
     for (const daemons of [11, 74, 570]) {
       const sent = simulateArrivals({ daemons, demand: 20, restartOneIn: 1e6 }, new SeededRandom(daemons));
-      expect(sent.length > 0.7 * coldRate(MAX_PER_SECOND) * (DURATION / SECOND)).toEqual(true);
+      expect(sent.length > 0.7 * meanColdRate(MAX_PER_SECOND) * (DURATION / SECOND)).toEqual(true);
     }
   });
 
   it('are one for each turn of a daemon, however many requests it has', () => {
     const turns = new Turns(0);
-    const interval = coldInterval(MAX_PER_SECOND, 11);
+    const interval = coldTurnInterval(MAX_PER_SECOND, 11);
     let sent = 0;
     for (let now = 0; now < interval; now += 5) {
       if (turns.allows(interval, now)) {
--- a/test/router/request/test-request-lifecycle.ts
+++ b/test/router/request/test-request-lifecycle.ts
@@ -201,7 +201,7 @@
   it('stays at an unresponsive server when no retry is left in the budget', () => {
     daemon.arrive(1, '/read/1');
     const budget = daemon.state.budgets.get('logs');
-    while (budget?.take() === true) {
+    while (budget?.tryTake() === true) {
       // Spends the whole budget, as other requests would.
     }
     daemon.ticksUntil(1_800);
--- a/test/router/request/test-server-gates.ts
+++ b/test/router/request/test-server-eligibility.ts
@@ -4,7 +4,11 @@
 import { Permits } from '../../../src/router/limits/permits.js';
 import { ZoneEvacuations } from '../../../src/router/news/zone-evacuations.js';
 import { ServerRest } from '../../../src/router/notices/server-rest.js';
-import { closedGate, type GatedServer, type GateTerms } from '../../../src/router/request/server-gates.js';
+import {
+  findIneligibility,
+  type CandidateServer,
+  type EligibilityContext,
+} from '../../../src/router/request/server-eligibility.js';
 import { ServerLoad } from '../../../src/router/request/server-load.js';
 import { ServiceProfile } from '../../../src/router/request/service-profile.js';
 import { Turns } from '../../../src/router/sharing/turns.js';
@@ -13,7 +17,7 @@
 const NOW = 10_000;
 const DRAINING_GRACE = 1_000;
 
-function ineligibleServer(): GatedServer {
+function ineligibleServer(): CandidateServer {
   const rest = new ServerRest();
   rest.ask(2_000, NOW);
   return {
@@ -27,7 +31,7 @@
   };
 }
 
-function checkInputs(now: number, rate: number | null): GateTerms {
+function checkInputs(now: number, rate: number | null): EligibilityContext {
   return {
     now,
     evacuations: new ZoneEvacuations(),
@@ -44,23 +48,23 @@
 describe('the eligibility checks of a server', () => {
   it('return the first failed check, each of which recovers independently', () => {
     const known = ineligibleServer();
-    expect(closedGate(known, checkInputs(NOW, 3))).toEqual('backing_off');
-    expect(closedGate(known, checkInputs(NOW + 2_000, 3))).toEqual('cold');
-    expect(closedGate(known, checkInputs(NOW + 4_000, 3))).toEqual('awaits_permit');
-    expect(closedGate(known, checkInputs(NOW + 4_000, null))).toEqual(null);
+    expect(findIneligibility(known, checkInputs(NOW, 3))).toEqual('backing_off');
+    expect(findIneligibility(known, checkInputs(NOW + 2_000, 3))).toEqual('cold');
+    expect(findIneligibility(known, checkInputs(NOW + 4_000, 3))).toEqual('awaits_permit');
+    expect(findIneligibility(known, checkInputs(NOW + 4_000, null))).toEqual(null);
   });
 
   it('return draining before any other reason', () => {
     const known = { ...ineligibleServer(), drainingSince: NOW - DRAINING_GRACE };
-    expect(closedGate(known, checkInputs(NOW, 3))).toEqual('draining');
-    expect(closedGate({ ...known, drainingSince: NOW }, checkInputs(NOW, 3))).toEqual('backing_off');
+    expect(findIneligibility(known, checkInputs(NOW, 3))).toEqual('draining');
+    expect(findIneligibility({ ...known, drainingSince: NOW }, checkInputs(NOW, 3))).toEqual('backing_off');
   });
 
   it('check last whether the rate limit leaves a permit in time', () => {
     const known = { ...ineligibleServer(), rest: new ServerRest(), coldUntil: 0 };
     known.permits.noteDenied(1, 1, 500, NOW);
-    expect(closedGate(known, checkInputs(NOW, 3))).toEqual('at_limit');
+    expect(findIneligibility(known, checkInputs(NOW, 3))).toEqual('at_limit');
     known.permits.noteGranted(2, NOW);
-    expect(closedGate(known, checkInputs(NOW, 3))).toEqual(null);
+    expect(findIneligibility(known, checkInputs(NOW, 3))).toEqual(null);
   });
 });
--- a/test/router/request/test-server-load.ts
+++ b/test/router/request/test-server-load.ts
@@ -6,14 +6,14 @@
 import { Permits } from '../../../src/router/limits/permits.js';
 import { Turns } from '../../../src/router/sharing/turns.js';
 import { ServerLoad } from '../../../src/router/request/server-load.js';
-import type { GatedServer } from '../../../src/router/request/server-gates.js';
+import type { CandidateServer } from '../../../src/router/request/server-eligibility.js';
 import { selectServer } from '../../../src/router/request/server-selection.js';
 import { ServiceProfile } from '../../../src/router/request/service-profile.js';
 import { server } from '../support/single-daemon.js';
 
 const IDLE = { running: 0, waiting: 0, slots: 2, slowdown: 1 };
 
-function createCandidate(id: string): GatedServer {
+function createCandidate(id: string): CandidateServer {
   const load = new ServerLoad(new ServiceProfile(), 2, 1);
   return {
     server: server(id),
@@ -27,7 +27,7 @@
 }
 
 /** Returns how often the first of two servers is selected in 100 rounds. */
-function countSelections(first: GatedServer, second: GatedServer, now: number): number {
+function countSelections(first: CandidateServer, second: CandidateServer, now: number): number {
   const random = new SeededRandom(1);
   let selections = 0;
   for (let round = 0; round < 100; round += 1) {
