--- a/src/router/limits/limit-log.ts
+++ b/src/router/limits/limit-log.ts
@@ -1,13 +1,13 @@
-/** The log's lines on limits: one for each change. */
+/** Log events about servers' rate limits: one for each change. */
 import type { Milliseconds } from '../model/identifiers.js';
 import type { NewsSource } from '../peers/messages.js';
 import type { RouterContext } from '../router-context.js';
 import type { LimitChange } from './server-limits.js';
 
-/** Who said it: an answer to this daemon, another daemon, or nobody for long. */
+/** Source of a limit change: a server's response to this daemon, another daemon, or the expiry of an unconfirmed limit. */
 export type LimitSource = NewsSource | 'answer' | 'unconfirmed';
 
-/** Says that a limit begins, changes or ends. */
+/** Logs that a server's limit begins, changes or ends. */
 export function logLimitChange(
   context: RouterContext,
   { server, former, rate }: LimitChange,
--- a/src/router/limits/limit-news.ts
+++ b/src/router/limits/limit-news.ts
@@ -1,6 +1,6 @@
 /**
- * Tells all daemons of the limits that servers name, along the tree: a server asks it of all together, those included that have had no answer of
- * it. Links carry changes, and now and then a word that a limit still holds.
+ * Propagates the rate limits that servers announce to all daemons, along the propagation tree. A limit applies to all daemons together,
+ * including those that have had no response from the server. Only changes and occasional refreshes of unchanged limits are sent.
  */
 import type { Milliseconds, ServerId } from '../model/identifiers.js';
 import type { LimitNews, NewsSource } from '../peers/messages.js';
@@ -8,7 +8,7 @@
 import { logLimitChange, type LimitSource } from './limit-log.js';
 import type { LimitChange, LimitStatement } from './server-limits.js';
 
-/** An answer to this daemon changed what is known of a limit, or confirmed it. */
+/** Propagates what a response to this daemon showed of a limit: a change, or a confirmation (`change` is null). */
 export function tellOfReading(context: RouterContext, server: ServerId, change: LimitChange | null): void {
   const { limitUpdates } = context.state;
   if (change !== null) {
@@ -19,30 +19,30 @@
   tellDue(context);
 }
 
-/** Another daemon told of limits. */
+/** Merges limits that another daemon sent, and forwards those that others lack. */
 export function receiveLimitNews(context: RouterContext, { limits }: LimitNews, source: NewsSource): void {
   const { state, now } = context;
   for (const statement of limits) {
     const { server, age } = statement;
     const wasStale = state.limitUpdates.isStale(server, now);
-    const isBehind = state.limits.isBehind(statement, now);
+    const isOutdated = state.limits.isBehind(statement, now);
     const change = state.limits.hear(statement, now);
     if (change !== null) {
       noteChange(context, change, source, age);
-    } else if (isBehind || wasStale) {
+    } else if (isOutdated || wasStale) {
       state.limitUpdates.add(server);
     }
   }
   tellDue(context);
 }
 
-/** All limits in force, for a daemon that has just connected or a parent that was just found; null: there are none. */
+/** Returns all limits in force, for a child that has just connected or a new parent, or null if there are none. */
 export function describeLimits({ state, now }: RouterContext): LimitNews | null {
   const limits = state.limits.statement(now);
   return limits.length === 0 ? null : { kind: 'limitNews', limits };
 }
 
-/** Tells what is due, and forgets limits that no answer has confirmed for long. */
+/** Sends due updates, and removes limits that no response has confirmed within their time to live. */
 export function tickLimits(context: RouterContext): void {
   const { state, now } = context;
   for (const change of state.limits.expire(now)) {
@@ -62,7 +62,7 @@
   const { limitUpdates, leadership } = context.state;
   limitUpdates.add(change.server);
   if (leadership !== null) {
-    // Its keys are too many for it, or may be more again.
+    // Plan at once: the server may own more keys than its limit allows, or may take more keys again.
     leadership.nextPlanAt = Math.min(leadership.nextPlanAt, context.now);
   }
 }
--- a/src/router/limits/limit-overview.ts
+++ b/src/router/limits/limit-overview.ts
@@ -1,31 +1,31 @@
-/** What operators see of limits: all servers with one, since when, and what daemons get of it. */
+/** Overview of rate limits for operators: the servers that have one, since when, and the rate that each daemon gets. */
 import type { DaemonName, Milliseconds, ServerId, ServiceName } from '../model/identifiers.js';
 import type { RequestsPerSecond } from '../model/server-limit.js';
 import type { RouterState } from '../router-state.js';
 import { limitShareOf } from './permit-exchange.js';
 
-/** What a daemon got lately. */
+/** Rate at which the leader has recently granted permits to a daemon. */
 export interface DaemonShare {
   readonly daemon: DaemonName;
   readonly permitsPerSecond: RequestsPerSecond;
 }
 
-/** One server with a limit, as one daemon sees it. */
+/** A server with a rate limit, as this daemon knows it. */
 export interface LimitOverview {
   readonly server: ServerId;
   readonly service: ServiceName | null;
   readonly limit: RequestsPerSecond;
-  /** How long ago this daemon first heard of it. */
+  /** Time since this daemon learned that the server has a limit. */
   readonly age: Milliseconds;
-  /** How long ago an answer was last known to name it. */
+  /** Time since a response last confirmed the limit. */
   readonly confirmedAge: Milliseconds;
-  /** How this daemon gets places: by permits of the leader, or as an equal share. */
+  /** How this daemon gets its part of the limit: by permits from the leader, or as an equal share. */
   readonly places: 'granted by the leader' | 'equal share';
-  /** What daemons were given in the last 5 to 10 s; only the leader knows. */
+  /** Permit grantRates of the daemons in the last 5 to 10 s, or null if this daemon isn't the leader, which alone knows them. */
   readonly shares: readonly DaemonShare[] | null;
 }
 
-/** Every limit in force. */
+/** Describes every limit in force. */
 export function describeLimitOverview(state: RouterState, now: Milliseconds): LimitOverview[] {
   return [...state.limits.inForce].map(([server, { rate, since, at }]) => ({
     server,
@@ -46,6 +46,6 @@
   if (leadership === null) {
     return null;
   }
-  const rates = [...leadership.permitBuckets.grantRates(server, now)];
-  return rates.map(([daemon, permitsPerSecond]) => ({ daemon, permitsPerSecond }));
+  const grantRates = [...leadership.permitBuckets.grantRates(server, now)];
+  return grantRates.map(([daemon, permitsPerSecond]) => ({ daemon, permitsPerSecond }));
 }
--- a/src/router/limits/limit-probes.ts
+++ b/src/router/limits/limit-probes.ts
@@ -1,6 +1,6 @@
 /**
- * Finds out whether a limit still holds at servers that get nothing: with few or no keys, or others to take its work, no answer would tell of its
- * end, and it would get nothing for long.
+ * Probes limited servers that receive no requests, to find out whether their limits still hold. A server that owns few or no keys, or
+ * whose work other servers take over, would send no response that shows the end of its limit, and would get no requests for a long time.
  */
 import type { Milliseconds, ServerId } from '../model/identifiers.js';
 import type { Leadership } from '../ownership/leadership-state.js';
@@ -8,16 +8,16 @@
 import { probeServer } from '../probe-server.js';
 import type { RouterContext } from '../router-context.js';
 
-/** A limited server of which nothing has been heard for this long is probed: a probe is one more request for it. */
+/** Time without a confirmed limit, a permit or a probe after which a limited server is probed. Each probe adds a request to its load. */
 const QUIET: Milliseconds = 2_000;
 
-/** Probes servers with limits that nobody sends to. */
+/** Probes limited servers to which no daemon sends requests. */
 export function tickLimitProbes(context: RouterContext, leadership: Leadership): void {
   const { state, now } = context;
   for (const [server, { at }] of state.limits.inForce) {
     const known = state.servers.get(server);
-    const heardAt = Math.max(at, lastSentAt(leadership, server));
-    if (known !== undefined && now - heardAt >= QUIET && known.rest.left(now) === 0) {
+    const lastActivityAt = Math.max(at, lastSentAt(leadership, server));
+    if (known !== undefined && now - lastActivityAt >= QUIET && known.rest.left(now) === 0) {
       leadership.limitProbedAt.set(server, now);
       probeServer(context, known.server, PROBE_PATIENCE);
     }
--- a/src/router/limits/limit-readings.ts
+++ b/src/router/limits/limit-readings.ts
@@ -1,14 +1,14 @@
-/** Takes in what answers to this daemon say of their servers' limits. */
+/** Records the rate limits that servers announce in their responses to this daemon. */
 import type { ServerLimitReadEvent } from '../events.js';
 import type { ServerId } from '../model/identifiers.js';
 import type { UnreadableLimit } from '../model/server-limit.js';
 import type { RouterContext } from '../router-context.js';
 import { tellOfReading } from './limit-news.js';
 
-/** Characters of a value that cannot be read that are logged. */
+/** Maximum number of characters of an unparsable limit that are logged. */
 const LONGEST_QUOTE = 60;
 
-/** An answer names a limit, or none. */
+/** Handles the limit read from a response, or that the response has none. */
 export function receiveServerLimit(
   context: RouterContext,
   { server, reading, sentAt }: ServerLimitReadEvent,
@@ -25,7 +25,7 @@
   }
 }
 
-/** Counted each time, said once for the service; the limit in force stays. */
+/** Counts an unparsable limit, and logs it once per service. The limit in force doesn't change. */
 function noteUnreadable(context: RouterContext, server: ServerId, { unreadable }: UnreadableLimit): void {
   const { counters, profiles, servers } = context.state;
   counters.malformed_limits += 1;
--- a/src/router/limits/limit-share.ts
+++ b/src/router/limits/limit-share.ts
@@ -1,31 +1,31 @@
-/** What one daemon may send to a server with a limit. */
+/** The part of a server's rate limit that one daemon may use. */
 import type { RequestsPerSecond } from '../model/server-limit.js';
 import { turnInterval } from '../sharing/turns.js';
 import type { Milliseconds } from '../model/identifiers.js';
 
 /**
- * A server that takes nothing, or next to nothing, still gets a trial now and then, of all daemons together: by its answer they learn when its
- * limit ends.
+ * Minimum request rate of all daemons together. A server with a limit of zero or nearly zero still gets an occasional trial request,
+ * whose response shows when the limit ends.
  */
 export const LEAST_RATE: RequestsPerSecond = 0.2;
-/** Part of a limit that is used while each daemon takes an equal share by itself: their turns may fall together. */
+/** Fraction of a limit that is used while daemons take equal shares without coordination: their send windows may coincide. */
 const UNDEALT_PART = 0.7;
 
-/** What the share of a limit is worked out from. */
+/** The values from which a daemon's share of a limit is calculated. */
 export interface LimitShare {
   readonly rate: RequestsPerSecond;
-  /** Daemons that share it. */
+  /** Number of daemons that share the limit. */
   readonly daemons: number;
-  /** The leader grants permits; otherwise each daemon takes an equal share. */
+  /** Whether the leader grants permits; otherwise each daemon takes an equal share. */
   readonly hasGrants: boolean;
 }
 
-/** The rate at which all daemons together send. */
+/** Returns the rate at which all daemons together may send. */
 export function usedRate(limit: RequestsPerSecond): RequestsPerSecond {
   return Math.max(LEAST_RATE, limit);
 }
 
-/** Time between two turns of a daemon that takes an equal share. */
+/** Returns the interval between the send windows of a daemon that takes an equal share. */
 export function equalShareInterval({ rate, daemons }: LimitShare): Milliseconds {
   return turnInterval(usedRate(rate) * UNDEALT_PART, daemons);
 }
--- a/src/router/limits/limit-updates.ts
+++ b/src/router/limits/limit-updates.ts
@@ -1,43 +1,43 @@
-/** Which limit updates other daemons have been sent, and which are due. */
+/** Tracks which limit updates were sent to other daemons and which are due. */
 import type { Milliseconds, ServerId } from '../model/identifiers.js';
 
-/** Changes of one server's limit are told no more often: some name another one with each answer. */
+/** Minimum time between updates about one server: some servers announce a different limit with each response. */
 const TELL_INTERVAL: Milliseconds = 100;
-/** A limit that stays is told again after this long: daemons forget one that nobody confirms. */
+/** Time after which an unchanged limit is sent again: daemons remove limits that are not confirmed. */
 const REFRESH_INTERVAL: Milliseconds = 15_000;
 
-/** Limit updates that were sent to other daemons, and those that are pending. */
+/** Limit updates by server: when the last one was sent, and whether another is pending. */
 export class LimitUpdates {
-  readonly #toldAt = new Map<ServerId, Milliseconds>();
-  readonly #untold = new Set<ServerId>();
+  readonly #sentAt = new Map<ServerId, Milliseconds>();
+  readonly #pending = new Set<ServerId>();
 
-  /** A server's limit has changed, or others have an older word of it. */
+  /** Marks an update about a server as pending: its limit has changed, or another daemon has an outdated one. */
   add(server: ServerId): void {
-    this.#untold.add(server);
+    this.#pending.add(server);
   }
 
-  /** Others know what is known here. */
+  /** Records that the current limit of a server was sent to the other daemons. */
   noteTold(server: ServerId, now: Milliseconds): void {
-    this.#toldAt.set(server, now);
-    this.#untold.delete(server);
+    this.#sentAt.set(server, now);
+    this.#pending.delete(server);
   }
 
-  /** Whether others have heard nothing of a server for long. */
+  /** Returns whether the last update about a server is older than the refresh interval. */
   isStale(server: ServerId, now: Milliseconds): boolean {
-    return this.#sinceTold(server, now) > REFRESH_INTERVAL;
+    return this.#timeSinceSent(server, now) > REFRESH_INTERVAL;
   }
 
-  /** Servers of which others may be told now. */
+  /** Returns the servers whose pending updates may be sent now. */
   due(now: Milliseconds): ServerId[] {
-    return [...this.#untold].filter((server) => this.#sinceTold(server, now) >= TELL_INTERVAL);
+    return [...this.#pending].filter((server) => this.#timeSinceSent(server, now) >= TELL_INTERVAL);
   }
 
   forget(server: ServerId): void {
-    this.#toldAt.delete(server);
-    this.#untold.delete(server);
+    this.#sentAt.delete(server);
+    this.#pending.delete(server);
   }
 
-  #sinceTold(server: ServerId, now: Milliseconds): Milliseconds {
-    return now - (this.#toldAt.get(server) ?? Number.NEGATIVE_INFINITY);
+  #timeSinceSent(server: ServerId, now: Milliseconds): Milliseconds {
+    return now - (this.#sentAt.get(server) ?? Number.NEGATIVE_INFINITY);
   }
 }
--- a/src/router/limits/permit-buckets.ts
+++ b/src/router/limits/permit-buckets.ts
@@ -1,17 +1,17 @@
 /**
- * Token buckets of servers with limits: one permit for each request. The leader keeps them and sees the requests of all daemons, so that the sum is
- * the limit whatever the number of daemons, and uneven demand wastes nothing. Requests of higher priority come first, then those that expire first; one
- * that can't be served in time is denied at once.
+ * Token buckets of servers with rate limits: each request needs one permit. The leader keeps the buckets and receives the permit requests
+ * of all daemons, so that the total is the limit for any number of daemons, and uneven demand leaves no capacity unused. Requests of higher
+ * priority are granted first, then those that expire first; a request that can't be granted in time is denied immediately.
  */
 import type { DaemonName, Milliseconds, ServerId } from '../model/identifiers.js';
 import type { RequestsPerSecond } from '../model/server-limit.js';
 import type { PermitAnswer, PermitAsk } from './permit-messages.js';
 
 const SECOND: Milliseconds = 1_000;
-/** Tokens that accumulate while nobody asks: this many, or those of this time. */
+/** Capacity of an idle bucket: this many tokens, or the refill of `BURST_TIME` if that is more. */
 const LEAST_BURST = 2;
 const BURST_TIME: Milliseconds = 250;
-/** Grants are counted over this time and the one before. */
+/** Grant rates are calculated over the current period of this length and the previous one. */
 const COUNT_PERIOD: Milliseconds = 5_000;
 
 interface WaitingAsk {
@@ -22,113 +22,113 @@
 /** Sliding-window count of granted permits per daemon. */
 class GrantCounts {
   #current = new Map<DaemonName, number>();
-  #former = new Map<DaemonName, number>();
-  #since: Milliseconds;
+  #previous = new Map<DaemonName, number>();
+  #periodStart: Milliseconds;
 
   constructor(now: Milliseconds) {
-    this.#since = now;
+    this.#periodStart = now;
   }
 
   add(daemon: DaemonName, now: Milliseconds): void {
-    this.#turn(now);
+    this.#rotate(now);
     this.#current.set(daemon, (this.#current.get(daemon) ?? 0) + 1);
   }
 
-  /** Permits a second by daemon. */
+  /** Returns the permits granted to each daemon, per second. */
   rates(now: Milliseconds): Map<DaemonName, RequestsPerSecond> {
-    this.#turn(now);
-    const time = (now - this.#since + (this.#former.size > 0 ? COUNT_PERIOD : 0)) / SECOND;
-    const daemons = new Set([...this.#current.keys(), ...this.#former.keys()]);
+    this.#rotate(now);
+    const time = (now - this.#periodStart + (this.#previous.size > 0 ? COUNT_PERIOD : 0)) / SECOND;
+    const daemons = new Set([...this.#current.keys(), ...this.#previous.keys()]);
     const rate = (daemon: DaemonName): number =>
-      ((this.#current.get(daemon) ?? 0) + (this.#former.get(daemon) ?? 0)) / Math.max(1, time);
+      ((this.#current.get(daemon) ?? 0) + (this.#previous.get(daemon) ?? 0)) / Math.max(1, time);
     return new Map([...daemons].map((daemon) => [daemon, rate(daemon)]));
   }
 
-  #turn(now: Milliseconds): void {
-    const passed = now - this.#since;
-    if (passed >= COUNT_PERIOD) {
-      this.#former = passed < 2 * COUNT_PERIOD ? this.#current : new Map();
+  #rotate(now: Milliseconds): void {
+    const elapsed = now - this.#periodStart;
+    if (elapsed >= COUNT_PERIOD) {
+      this.#previous = elapsed < 2 * COUNT_PERIOD ? this.#current : new Map();
       this.#current = new Map();
-      this.#since = now;
+      this.#periodStart = now;
     }
   }
 }
 
-/** The tokens of one server, and the requests that wait for them. */
+/** The token bucket of one server, with the queue of permit requests. */
 class TokenBucket {
   readonly grants: GrantCounts;
   lastGrantAt: Milliseconds = Number.NEGATIVE_INFINITY;
   #tokens = 0;
-  #filledAt: Milliseconds;
-  #waiting: WaitingAsk[] = [];
+  #refilledAt: Milliseconds;
+  #queue: WaitingAsk[] = [];
 
   constructor(now: Milliseconds) {
-    this.#filledAt = now;
+    this.#refilledAt = now;
     this.grants = new GrantCounts(now);
   }
 
   add(ask: PermitAsk, now: Milliseconds): void {
-    this.#waiting.push({ ask, expiresAt: now + ask.wait });
-    this.#waiting.sort(
+    this.#queue.push({ ask, expiresAt: now + ask.wait });
+    this.#queue.sort(
       (left, right) => left.ask.priority - right.ask.priority || left.expiresAt - right.expiresAt,
     );
   }
 
   get isIdle(): boolean {
-    return this.#waiting.length === 0;
+    return this.#queue.length === 0;
   }
 
-  /** Grants waiting requests in order of priority; denies those that have expired. */
+  /** Grants queued requests in order of priority; denies those that have expired or whose token would come too late. */
   grant(rate: RequestsPerSecond, now: Milliseconds): PermitAnswer[] {
-    this.#fill(rate, now);
-    const answers: PermitAnswer[] = this.#takeExpired(now).map(({ ask }) => this.#deny(ask, rate));
-    while (this.#tokens >= 1 && this.#waiting.length > 0) {
-      const { ask } = this.#waiting.shift() as WaitingAsk;
+    this.#refill(rate, now);
+    const answers: PermitAnswer[] = this.#removeExpired(now).map(({ ask }) => this.#deny(ask, rate));
+    while (this.#tokens >= 1 && this.#queue.length > 0) {
+      const { ask } = this.#queue.shift() as WaitingAsk;
       this.#tokens -= 1;
       this.lastGrantAt = now;
       this.grants.add(ask.daemon, now);
       answers.push(answerTo(ask, true, 0));
     }
-    answers.push(...this.#takeHopeless(rate, now).map(({ ask }) => this.#deny(ask, rate)));
+    answers.push(...this.#removeUngrantable(rate, now).map(({ ask }) => this.#deny(ask, rate)));
     return answers;
   }
 
-  #fill(rate: RequestsPerSecond, now: Milliseconds): void {
-    const most = Math.max(LEAST_BURST, (rate * BURST_TIME) / SECOND);
-    this.#tokens = Math.min(most, this.#tokens + (rate * (now - this.#filledAt)) / SECOND);
-    this.#filledAt = now;
+  #refill(rate: RequestsPerSecond, now: Milliseconds): void {
+    const capacity = Math.max(LEAST_BURST, (rate * BURST_TIME) / SECOND);
+    this.#tokens = Math.min(capacity, this.#tokens + (rate * (now - this.#refilledAt)) / SECOND);
+    this.#refilledAt = now;
   }
 
-  /** Time until the token after so many others is there. */
-  #tokenAfter(others: number, rate: RequestsPerSecond): Milliseconds {
-    return Math.max(0, ((others + 1 - this.#tokens) * SECOND) / rate);
+  /** Returns the time until a token is available for a request with `ahead` others before it. */
+  #timeUntilToken(ahead: number, rate: RequestsPerSecond): Milliseconds {
+    return Math.max(0, ((ahead + 1 - this.#tokens) * SECOND) / rate);
   }
 
   #deny(ask: PermitAsk, rate: RequestsPerSecond): PermitAnswer {
-    const ahead = this.#waiting.filter((other) => other.ask.priority <= ask.priority).length;
-    return answerTo(ask, false, this.#tokenAfter(ahead, rate));
+    const ahead = this.#queue.filter((other) => other.ask.priority <= ask.priority).length;
+    return answerTo(ask, false, this.#timeUntilToken(ahead, rate));
   }
 
-  #takeExpired(now: Milliseconds): WaitingAsk[] {
-    return this.#takeThose(({ expiresAt }) => expiresAt < now);
+  #removeExpired(now: Milliseconds): WaitingAsk[] {
+    return this.#removeMatching(({ expiresAt }) => expiresAt < now);
   }
 
-  /** Requests whose token comes after they expire. */
-  #takeHopeless(rate: RequestsPerSecond, now: Milliseconds): WaitingAsk[] {
+  /** Removes and returns the requests that would expire before a token is available. */
+  #removeUngrantable(rate: RequestsPerSecond, now: Milliseconds): WaitingAsk[] {
     let ahead = 0;
-    return this.#takeThose(({ expiresAt }) => {
-      const isHopeless = now + this.#tokenAfter(ahead, rate) > expiresAt;
-      ahead += isHopeless ? 0 : 1;
-      return isHopeless;
+    return this.#removeMatching(({ expiresAt }) => {
+      const isTooLate = now + this.#timeUntilToken(ahead, rate) > expiresAt;
+      ahead += isTooLate ? 0 : 1;
+      return isTooLate;
     });
   }
 
-  #takeThose(isTaken: (waiting: WaitingAsk) => boolean): WaitingAsk[] {
-    const kept: WaitingAsk[] = [];
-    const taken: WaitingAsk[] = [];
-    this.#waiting.forEach((waiting) => (isTaken(waiting) ? taken : kept).push(waiting));
-    this.#waiting = kept;
-    return taken;
+  #removeMatching(shouldRemove: (entry: WaitingAsk) => boolean): WaitingAsk[] {
+    const remaining: WaitingAsk[] = [];
+    const removed: WaitingAsk[] = [];
+    this.#queue.forEach((entry) => (shouldRemove(entry) ? removed : remaining).push(entry));
+    this.#queue = remaining;
+    return removed;
   }
 }
 
@@ -137,14 +137,14 @@
   return { kind: 'permitAnswer', server, requestId, priority, granted, nextPlaceIn, path };
 }
 
-/** Kept by a leader for all servers with limits. */
+/** The leader's token buckets for all servers with rate limits. */
 export class PermitBuckets {
   readonly #buckets = new Map<ServerId, TokenBucket>();
 
   /**
-   * Takes a request for a permit in, and answers it and others if they can be answered.
+   * Enqueues a permit request and returns the answers that can be given now, to this request and to others in the queue.
    *
-   * @param rate of refill; null: the server has no limit
+   * @param rate refill rate, or null if the server has no limit
    */
   ask(ask: PermitAsk, rate: RequestsPerSecond | null, now: Milliseconds): PermitAnswer[] {
     if (rate === null) {
@@ -156,7 +156,7 @@
     return bucket.grant(rate, now);
   }
 
-  /** Answers the waiting requests whose token is there, or comes too late. */
+  /** Returns answers to the queued requests for which a token is available or would come too late. */
   tick(rateOf: (server: ServerId) => RequestsPerSecond | null, now: Milliseconds): PermitAnswer[] {
     const answers: PermitAnswer[] = [];
     for (const [server, bucket] of this.#buckets) {
@@ -170,12 +170,12 @@
     return answers;
   }
 
-  /** When a permit for a server was last granted. */
+  /** Returns when a permit for a server was last granted. */
   lastGrantAt(server: ServerId): Milliseconds {
     return this.#buckets.get(server)?.lastGrantAt ?? Number.NEGATIVE_INFINITY;
   }
 
-  /** Permits a second that daemons were granted lately for a server. */
+  /** Returns the rate at which each daemon was recently granted permits for a server. */
   grantRates(server: ServerId, now: Milliseconds): Map<DaemonName, RequestsPerSecond> {
     return this.#buckets.get(server)?.grants.rates(now) ?? new Map<DaemonName, RequestsPerSecond>();
   }
--- a/src/router/limits/permit-contact.ts
+++ b/src/router/limits/permit-contact.ts
@@ -1,9 +1,10 @@
-/** Whether a daemon reaches the leader that grants permits. */
+/** State of this daemon's connection to the leader's permit service. */
 import type { Milliseconds } from '../model/identifiers.js';
 
-/** Whether this daemon reaches the daemon that grants permits. */
+/** Whether the leader answers this daemon's permit requests. */
 export interface PermitContact {
-  /** An ask has had no answer, and none has come since. */
+  /** A permit request timed out, and no answer has arrived since. */
   isSilent: boolean;
+  /** When the leader is next sent a permit request that only tests whether it answers again. */
   nextProbeAt: Milliseconds;
 }
--- a/src/router/limits/permit-exchange.ts
+++ b/src/router/limits/permit-exchange.ts
@@ -1,7 +1,7 @@
 /**
- * Asks the leader for permits for servers with limits, passes such requests and their answers on along the tree, and grants permits as the leader.
- * Each leader grants only the part of the daemons that report to it: two of them, or one beside daemons that are cut off and take equal shares,
- * pass no limit together.
+ * Requests permits for rate-limitedServer servers from the leader, forwards permit requests and answers along the propagation tree, and grants
+ * permits if this daemon is the leader. A leader grants only the fraction of a limit that corresponds to the daemons that report to it.
+ * Thus two leaders at once, or a leader beside disconnected daemons that take equal shares, don't exceed the limit together.
  */
 import type { Milliseconds, ServerId } from '../model/identifiers.js';
 import type { RequestsPerSecond } from '../model/server-limit.js';
@@ -13,12 +13,12 @@
 import type { PermitAnswer, PermitAsk } from './permit-messages.js';
 import { ANSWER_MARGIN, type PlaceSeeker } from './permits.js';
 
-/** A leader that left an ask unanswered is asked again this often. */
+/** Interval of test requests to a leader that left a permit request unanswered. */
 const PROBE_INTERVAL: Milliseconds = 500;
-/** Numbers no request: the ask only finds out whether permits are granted again. */
+/** Request id of a permit request that belongs to no request and only tests whether the leader answers again. */
 const PROBE_REQUEST = 0;
 
-/** What this daemon may send to a server, or null: the server has no limit. */
+/** Returns the share of a server's limit that this daemon may use, or null if the server has no limit. */
 export function limitShareOf(state: RouterState, server: ServerId): LimitShare | null {
   const rate = state.limits.of(server);
   return rate === null ? null : { rate, daemons: state.daemons, hasGrants: hasGrants(state) };
@@ -28,31 +28,34 @@
   return leadership !== null || (tree.parent !== null && !permitContact.isSilent);
 }
 
-/** Asks for a permit for a request that is held. Returns what the leader answers where that is this daemon. */
+/** Requests a permit for a held request. Returns the answers for this daemon's own requests if this daemon is the leader. */
 export function askPermit(
   context: RouterContext,
-  seeker: PlaceSeeker,
+  request: PlaceSeeker,
   { server, permits }: KnownServer,
 ): PermitAnswer[] {
   const { state, now } = context;
-  const wait = seeker.holdUntil - now - ANSWER_MARGIN;
-  if (permits.isAsked(seeker.id) || wait < 0) {
+  const wait = request.holdUntil - now - ANSWER_MARGIN;
+  if (permits.isAsked(request.id) || wait < 0) {
     return [];
   }
   state.counters.permits_asked += 1;
-  permits.noteAsked(seeker.id, wait, now);
+  permits.noteAsked(request.id, wait, now);
   return passOn(context, {
     kind: 'permitAsk',
     server: server.id,
     daemon: state.identity.daemon,
-    requestId: seeker.id,
-    priority: seeker.priority,
+    requestId: request.id,
+    priority: request.priority,
     wait,
     path: [],
   });
 }
 
-/** Answers it as the leader, or passes it on. Returns answers for this daemon's own requests: others that waited may be answered, too. */
+/**
+ * Handles a permit request as the leader, or forwards it to the parent. Returns the answers for this daemon's own requests, which may include
+ * others that were queued.
+ */
 function passOn(context: RouterContext, ask: PermitAsk): PermitAnswer[] {
   const { leadership } = context.state;
   if (leadership !== null) {
@@ -63,12 +66,12 @@
   return [];
 }
 
-/** A daemon below this one wants a place. Returns answers for this daemon's own requests. */
+/** Handles a permit request from a descendant. Returns the answers for this daemon's own requests. */
 export function receivePermitAsk(context: RouterContext, link: number, ask: PermitAsk): PermitAnswer[] {
   return passOn(context, { ...ask, path: [...ask.path, link] });
 }
 
-/** Sends answers on. Returns those for this daemon. */
+/** Forwards permit answers to the children on their paths. Returns those for this daemon. */
 export function route(context: RouterContext, answers: readonly PermitAnswer[]): PermitAnswer[] {
   const own: PermitAnswer[] = [];
   for (const answer of answers) {
@@ -83,7 +86,7 @@
   return own;
 }
 
-/** Takes in an answer for this daemon. */
+/** Records an answer to one of this daemon's permit requests. */
 export function notePermitAnswer({ state, now }: RouterContext, answer: PermitAnswer): void {
   const { server, requestId, priority, granted, nextPlaceIn } = answer;
   state.permitContact.isSilent = false;
@@ -99,14 +102,14 @@
   }
 }
 
-/** Permits for a server that this leader grants a second; null: it has no limit. */
+/** Returns the rate at which this leader grants permits for a server, or null if the server has no limit. */
 function refillRate({ state, now }: RouterContext, server: ServerId): RequestsPerSecond | null {
   const limit = state.limits.of(server);
-  const reached = Math.min(1, (1 + daemonsBelow(state.tree, now)) / state.daemons);
-  return limit === null ? null : usedRate(limit) * reached;
+  const reachableFraction = Math.min(1, (1 + daemonsBelow(state.tree, now)) / state.daemons);
+  return limit === null ? null : usedRate(limit) * reachableFraction;
 }
 
-/** Grants permits that have become free. Returns answers for this daemon's own requests. */
+/** Grants permits that have become available. Returns the answers for this daemon's own requests. */
 export function tickPermitBuckets(context: RouterContext, { permitBuckets }: Leadership): PermitAnswer[] {
   return route(
     context,
@@ -114,7 +117,7 @@
   );
 }
 
-/** Notices that asks stay unanswered, and finds out when they are answered again. */
+/** Detects permit requests that timed out, and tests at intervals whether the leader answers again. */
 export function tickPermitContact(context: RouterContext): void {
   const { state, now } = context;
   const { permitContact: contact } = state;
@@ -123,21 +126,21 @@
       contact.isSilent = true;
     }
   }
-  const [limited] = state.limits.inForce.keys();
-  if (contact.isSilent && now >= contact.nextProbeAt && limited !== undefined) {
+  const [limitedServer] = state.limits.inForce.keys();
+  if (contact.isSilent && now >= contact.nextProbeAt && limitedServer !== undefined) {
     contact.nextProbeAt = now + PROBE_INTERVAL;
     const { daemon } = state.identity;
-    const ask = { server: limited, daemon, requestId: PROBE_REQUEST, priority: 0, wait: 0, path: [] };
+    const ask = { server: limitedServer, daemon, requestId: PROBE_REQUEST, priority: 0, wait: 0, path: [] };
     passOn(context, { kind: 'permitAsk', ...ask });
   }
 }
 
-/** Another parent: it may grant permits. */
+/** Assumes that permits are granted again after this daemon has connected to a new parent. */
 export function noteNewParent({ state }: RouterContext): void {
   state.permitContact.isSilent = false;
 }
 
-/** After a suspension: permits that were granted may be another daemon's by now. */
+/** Discards all permits after a suspension: the leader may have granted their capacity to other daemons since. */
 export function dropPermits({ state }: RouterContext): void {
   state.servers.forEach(({ permits }) => permits.clear());
 }
--- a/src/router/limits/permit-messages.ts
+++ b/src/router/limits/permit-messages.ts
@@ -1,30 +1,30 @@
-/** Requests for permits to the daemon that keeps the token buckets of limited servers, and its answers. */
+/** Permit requests to the leader, which keeps the token buckets of rate-limited servers, and its answers. */
 import type { DaemonName, Milliseconds, ServerId } from '../model/identifiers.js';
 
-/** A daemon wants to send one request to a server with a limit. */
+/** Requests a permit to send one request to a rate-limited server. */
 export interface PermitAsk {
   readonly kind: 'permitAsk';
   readonly server: ServerId;
   readonly daemon: DaemonName;
-  /** Of the asking daemon. */
+  /** Id of the request, unique within `daemon`. */
   readonly requestId: number;
-  /** Of the request's route; 0 is the most urgent. */
+  /** Priority of the request's route; 0 is the most urgent. */
   readonly priority: number;
-  /** How long the request can wait for the permit. */
+  /** Time for which the request can wait for the permit. */
   readonly wait: Milliseconds;
-  /** Links on which relays received it, the first one first: the answer goes back along them. */
+  /** Links on which relays and the leader received the request, in order; the answer returns along them. */
   readonly path: readonly number[];
 }
 
-/** A permit, or that there will be none in time. */
+/** Grants a permit, or denies it because none will be available in time. */
 export interface PermitAnswer {
   readonly kind: 'permitAnswer';
   readonly server: ServerId;
   readonly requestId: number;
   readonly priority: number;
   readonly granted: boolean;
-  /** When a place may be free for another request. */
+  /** Time until a permit may be available for another request. */
   readonly nextPlaceIn: Milliseconds;
-  /** Links that are still to be passed, the last one first. */
+  /** Links that the answer has yet to travel; the last element is the next one. */
   readonly path: readonly number[];
 }
--- a/src/router/limits/permits.ts
+++ b/src/router/limits/permits.ts
@@ -1,63 +1,64 @@
 /**
- * One daemon's permits for one server with a limit: those it has, those it has asked for, and what it was told of the next place. Without whoever
- * grants permits, it sends in turns of an equal share instead.
+ * One daemon's permits for one rate-limited server: those granted, those requested, and when the next may be available. While the leader
+ * grants none, the daemon sends in the send windows of an equal share instead.
  */
 import type { Milliseconds } from '../model/identifiers.js';
 import { Turns } from '../sharing/turns.js';
 import { type LimitShare, equalShareInterval } from './limit-share.js';
 
-/** A permit is for now: one that was saved up would be a request too many later. */
+/** Time for which a permit may be used: a permit that is saved for later would exceed the limit then. */
 const PERMIT_VALIDITY: Milliseconds = 300;
-/** An answer takes less than this beyond the time that the ask may wait. */
+/** Time after the end of its permitted wait at which the answer to a permit request is overdue. */
 const ANSWER_PATIENCE: Milliseconds = 250;
-/** A request that can wait for less than this doesn't ask: the answer would come too late. */
+/** A request that can wait for less than this requests no permit: the answer would arrive too late. */
 export const ANSWER_MARGIN: Milliseconds = 25;
 
-/** A request that wants a place. */
+/** A request that needs a permit. */
 export interface PlaceSeeker {
   readonly id: number;
   readonly priority: number;
-  /** It waits until then. */
+  /** Time until which the request can be held. */
   readonly holdUntil: Milliseconds;
 }
 
-/** Whether a request may be sent: now, perhaps once a permit comes, or not in time. */
+/** Whether a request may be sent now (`free`), perhaps in time once a permit arrives (`awaited`), or not in time (`none`). */
 export type PlaceState = 'free' | 'awaited' | 'none';
 
+/** Permits of one daemon for one server. */
 export class Permits {
-  readonly #turns: Turns;
-  /** Until when each permit may be used, the first to end first. */
+  readonly #sendWindows: Turns;
+  /** Expiry times of the unused permits, in ascending order. */
   #validUntil: Milliseconds[] = [];
-  /** When an answer to each request that was asked for is overdue. */
-  readonly #asked = new Map<number, Milliseconds>();
-  /** For requests of a priority, and less urgent ones, there is no place before this time. */
-  readonly #noPlaceBefore = new Map<number, Milliseconds>();
+  /** Times at which the answers to outstanding permit requests are overdue, by request id. */
+  readonly #requested = new Map<number, Milliseconds>();
+  /** Times before which no permit is available to requests of a priority and less urgent ones, by priority. */
+  readonly #unavailableUntil = new Map<number, Milliseconds>();
 
-  /** @param phase from 0 to 1: when its turns of an equal share begin */
+  /** @param phase offset of the send windows of an equal share, from 0 to 1 */
   constructor(phase: number) {
-    this.#turns = new Turns(phase);
+    this.#sendWindows = new Turns(phase);
   }
 
-  /** What there is for a request. */
-  placeFor(seeker: PlaceSeeker, share: LimitShare, now: Milliseconds): PlaceState {
+  /** Returns whether and when a request may be sent. */
+  placeFor(request: PlaceSeeker, share: LimitShare, now: Milliseconds): PlaceState {
     if (this.count(now) > 0) {
       return 'free';
     }
     if (!share.hasGrants) {
-      return this.#turns.allows(equalShareInterval(share), now) ? 'free' : 'none';
+      return this.#sendWindows.allows(equalShareInterval(share), now) ? 'free' : 'none';
     }
-    const isInTime = Math.max(now, this.#nextPlaceAt(seeker.priority)) + ANSWER_MARGIN <= seeker.holdUntil;
+    const isInTime = Math.max(now, this.#nextAvailableAt(request.priority)) + ANSWER_MARGIN <= request.holdUntil;
     return isInTime ? 'awaited' : 'none';
   }
 
-  /** Time until a place is likely. */
+  /** Returns the time until a request of a priority can probably be sent. */
   untilPlace(priority: number, share: LimitShare, now: Milliseconds): Milliseconds {
     return share.hasGrants
-      ? Math.max(0, this.#nextPlaceAt(priority) - now)
-      : this.#turns.untilNext(equalShareInterval(share), now);
+      ? Math.max(0, this.#nextAvailableAt(priority) - now)
+      : this.#sendWindows.untilNext(equalShareInterval(share), now);
   }
 
-  /** Permits that may be used now. */
+  /** Returns the number of permits that may be used now. */
   count(now: Milliseconds): number {
     while (this.#validUntil.length > 0 && (this.#validUntil[0] as number) < now) {
       this.#validUntil.shift();
@@ -65,63 +66,63 @@
     return this.#validUntil.length;
   }
 
-  /** A request is sent. */
+  /** Records that a request is sent: uses a permit, or else the current send window. */
   use(now: Milliseconds): void {
     if (this.count(now) > 0) {
       this.#validUntil.shift();
     } else {
-      this.#turns.use(now);
+      this.#sendWindows.use(now);
     }
   }
 
-  /** A request that took a permit never left. */
+  /** Returns the permit of a request that was not sent. */
   giveBack(now: Milliseconds): void {
     this.#validUntil.push(now + PERMIT_VALIDITY);
   }
 
-  /** Whether a permit has been asked for a request, and no answer has come yet. */
+  /** Returns whether a permit was requested for a request and the answer is outstanding. */
   isAsked(requestId: number): boolean {
-    return this.#asked.has(requestId);
+    return this.#requested.has(requestId);
   }
 
-  /** A permit is asked for. */
+  /** Records that a permit was requested. */
   noteAsked(requestId: number, wait: Milliseconds, now: Milliseconds): void {
-    this.#asked.set(requestId, now + wait + ANSWER_PATIENCE);
+    this.#requested.set(requestId, now + wait + ANSWER_PATIENCE);
   }
 
   noteGranted(requestId: number, now: Milliseconds): void {
-    this.#asked.delete(requestId);
+    this.#requested.delete(requestId);
     this.#validUntil.push(now + PERMIT_VALIDITY);
   }
 
   noteDenied(requestId: number, priority: number, nextPlaceIn: Milliseconds, now: Milliseconds): void {
-    this.#asked.delete(requestId);
-    this.#noPlaceBefore.set(priority, now + nextPlaceIn);
+    this.#requested.delete(requestId);
+    this.#unavailableUntil.set(priority, now + nextPlaceIn);
   }
 
-  /** Whether an answer is overdue. Those asked for longest are forgotten then. */
+  /** Removes permit requests whose answers are overdue. Returns whether there were any. */
   takeOverdue(now: Milliseconds): boolean {
     let isOverdue = false;
-    for (const [requestId, dueAt] of this.#asked) {
+    for (const [requestId, dueAt] of this.#requested) {
       if (dueAt < now) {
-        this.#asked.delete(requestId);
+        this.#requested.delete(requestId);
         isOverdue = true;
       }
     }
     return isOverdue;
   }
 
-  /** Permits that were granted may be another daemon's by now. */
+  /** Discards permits and outstanding permit requests, when other daemons may have been granted their capacity. */
   clear(): void {
     this.#validUntil = [];
-    this.#asked.clear();
-    this.#noPlaceBefore.clear();
+    this.#requested.clear();
+    this.#unavailableUntil.clear();
   }
 
-  #nextPlaceAt(priority: number): Milliseconds {
+  #nextAvailableAt(priority: number): Milliseconds {
     let latest = Number.NEGATIVE_INFINITY;
-    for (const [denied, at] of this.#noPlaceBefore) {
-      latest = denied <= priority ? Math.max(latest, at) : latest;
+    for (const [deniedPriority, at] of this.#unavailableUntil) {
+      latest = deniedPriority <= priority ? Math.max(latest, at) : latest;
     }
     return latest;
   }
--- a/src/router/limits/recent-limits.ts
+++ b/src/router/limits/recent-limits.ts
@@ -1,8 +1,8 @@
-/** The lowest limits that servers have named lately, for plans that should not follow each change. */
+/** The lowest rate limits that servers recently announced, for assignment plans, which should not follow each fluctuation. */
 import type { Milliseconds, ServerId } from '../model/identifiers.js';
 import type { RequestsPerSecond } from '../model/server-limit.js';
 
-/** A limit that has risen or ended counts for this long: one that comes and goes does so within seconds. */
+/** Time for which a limit still counts after it has risen or ended: limits that fluctuate do so within seconds. */
 const MEMORY: Milliseconds = 2_000;
 
 interface RecentLimit {
@@ -10,22 +10,23 @@
   readonly until: Milliseconds;
 }
 
+/** The lowest recent limit of each server. */
 export class RecentLimits {
   readonly #lowest = new Map<ServerId, RecentLimit>();
 
   /**
-   * The lowest limit of a server, or null when it has named none lately.
+   * Returns the lowest recent limit of a server, or null if it has recently had none.
    *
-   * @param rate in force now, or null
+   * @param rate limit in force now, or null
    */
   lowest(server: ServerId, rate: RequestsPerSecond | null, now: Milliseconds): RequestsPerSecond | null {
     const known = this.#lowest.get(server);
-    const isPast = known === undefined || known.until < now;
-    if (rate !== null && (isPast || rate <= known.rate)) {
+    const isExpired = known === undefined || known.until < now;
+    if (rate !== null && (isExpired || rate <= known.rate)) {
       this.#lowest.set(server, { rate, until: now + MEMORY });
       return rate;
     }
-    if (isPast) {
+    if (isExpired) {
       this.#lowest.delete(server);
       return null;
     }
--- a/src/router/limits/server-limits.ts
+++ b/src/router/limits/server-limits.ts
@@ -1,46 +1,50 @@
 /**
- * The limits that servers name in their answers, by the life of a server. An answer is made somewhere between the sending of its request
- * and its arrival. A limit counts from the arrival; its end, and a higher one, only from an answer whose request was sent after the last word
- * of the limit in force: answers overtake each other, and work that began before a limit says nothing of its end. Of the words of several
- * daemons the latest holds.
+ * The rate limits that servers announce in their responses, by server incarnation. A server produces a response at some time between the
+ * sending of the request and the arrival of the response. A new or lower limit takes effect when the response arrives. A higher limit, or
+ * the end of a limit, takes effect only if the request was sent after the limit in force was last confirmed: responses overtake each other,
+ * and work that began before the limit says nothing about its end. Of the statements of several daemons the most recent one applies.
  */
 import type { Milliseconds, ServerId } from '../model/identifiers.js';
 import type { RequestsPerSecond } from '../model/server-limit.js';
 
-/** With about 60 bytes each, a daemon that joins is sent 30 KB at most. */
+/** Maximum number of servers whose limits are kept. At about 60 bytes each, a daemon that joins is sent 30 KB at most. */
 const MOST_SERVERS = 512;
-/** Nobody has sent anything to a server for this long if no answer has confirmed its limit: the next answer says what holds. */
+/**
+ * Time for which a limit is kept without confirmation. If no response has confirmed it for this long, no daemon has sent the server a request;
+ * its next response announces the limit that then applies.
+ */
 const UNCONFIRMED_MEMORY: Milliseconds = 60_000;
-/** The end of a limit is remembered for longer than word of it takes to pass. */
+/** Time for which the end of a limit is remembered: longer than an update takes to reach all daemons. */
 const END_MEMORY: Milliseconds = 10_000;
 
-/** Word takes up to this long from one daemon to the next, and does not become newer by that. */
+/** Maximum transit time of an update from one daemon to the next; added to its age, so that forwarding makes no statement newer. */
 const HOP: Milliseconds = 10;
 
-/** What was last known of a server's limit. */
+/** The last known state of a server's limit. */
 export interface ServerLimit {
-  /** Null: it has ceased to name one. */
+  /** Null if the server no longer announces a limit. */
   readonly rate: RequestsPerSecond | null;
-  /** When that was known to hold, by this daemon's clock. */
+  /** When the state was last confirmed, by this daemon's clock. */
   readonly at: Milliseconds;
-  /** Since when a limit has been in force, or since when none has. */
+  /** When the server began to have a limit, or to have none, whatever the values since. */
   readonly since: Milliseconds;
 }
 
-/** A server's limit, as daemons tell each other. */
+/** The state of a server's limit, as daemons send it to each other. */
 export interface LimitStatement {
   readonly server: ServerId;
-  /** Null: it has ceased to name one. */
+  /** Null if the server no longer announces a limit. */
   readonly limit: NamedLimit | null;
-  /** How long ago that was known to hold. */
+  /** Time since the state was last confirmed. */
   readonly age: Milliseconds;
 }
 
+/** A rate limit that a server announces. */
 export interface NamedLimit {
   readonly rate: RequestsPerSecond;
 }
 
-/** A change of a limit in force. */
+/** A change of the limit in force at a server; null rates stand for no limit. */
 export interface LimitChange {
   readonly server: ServerId;
   readonly former: RequestsPerSecond | null;
@@ -52,35 +56,35 @@
   return { server, limit, age: Math.max(0, Math.round(now - at)) };
 }
 
-/** The limits that a daemon knows. */
+/** The limits that this daemon knows. */
 export class ServerLimits {
   readonly #limits = new Map<ServerId, ServerLimit>();
 
-  /** Nothing is known of any server: most of the time. */
+  /** Whether no limit of any server is known, which is the usual case. */
   get isEmpty(): boolean {
     return this.#limits.size === 0;
   }
 
-  /** The limit in force, or null. */
+  /** Returns the limit in force at a server, or null. */
   of(server: ServerId): RequestsPerSecond | null {
     return this.#limits.get(server)?.rate ?? null;
   }
 
-  /** Servers of which anything is known. */
+  /** Returns the servers that have a limit or recently had one. */
   servers(): Iterable<ServerId> {
     return this.#limits.keys();
   }
 
-  /** Limits in force. */
+  /** The limits in force, by server. */
   get inForce(): ReadonlyMap<ServerId, ServerLimit> {
     return new Map([...this.#limits].filter(([, { rate }]) => rate !== null));
   }
 
   /**
-   * An answer to this daemon named a limit, or none.
+   * Records the limit announced in a response to this daemon, or that the response announced none.
    *
-   * @param sentAt when its request was sent
-   * @returns what changes, or null
+   * @param sentAt when the request was sent
+   * @returns the change of the limit in force, or null
    */
   read(
     server: ServerId,
@@ -90,22 +94,22 @@
   ): LimitChange | null {
     const known = this.#limits.get(server);
     const former = known?.rate ?? null;
-    const isRelief = former !== null && (rate === null || rate > former);
-    if ((rate === null && former === null) || (isRelief && sentAt <= (known?.at ?? now))) {
+    const isIncreaseOrEnd = former !== null && (rate === null || rate > former);
+    if ((rate === null && former === null) || (isIncreaseOrEnd && sentAt <= (known?.at ?? now))) {
       return null;
     }
-    return this.#put(server, rate, rate === null ? sentAt : now, now);
+    return this.#record(server, rate, rate === null ? sentAt : now, now);
   }
 
-  /** Another daemon told of a limit. Returns what changes, or null. */
+  /** Merges a statement of another daemon. Returns the change of the limit in force, or null. */
   hear({ server, limit, age }: LimitStatement, now: Milliseconds): LimitChange | null {
     const at = now - Math.max(0, age) - HOP;
     const known = this.#limits.get(server);
     const isOlder = known !== undefined && at <= known.at;
-    return isOlder ? null : this.#put(server, limit?.rate ?? null, at, now);
+    return isOlder ? null : this.#record(server, limit?.rate ?? null, at, now);
   }
 
-  #put(
+  #record(
     server: ServerId,
     rate: RequestsPerSecond | null,
     at: Milliseconds,
@@ -115,24 +119,24 @@
     const former = known?.rate ?? null;
     const hasBegunOrEnded = known === undefined || (former === null) !== (rate === null);
     this.#limits.set(server, { rate, at, since: hasBegunOrEnded ? now : known.since });
-    this.#bound();
+    this.#evictOldest();
     return former === rate ? null : { server, former, rate };
   }
 
-  #bound(): void {
+  #evictOldest(): void {
     const [oldest] = this.#limits.keys();
     if (this.#limits.size > MOST_SERVERS && oldest !== undefined) {
       this.#limits.delete(oldest);
     }
   }
 
-  /** Whether a statement is behind what is known here: whoever made it should hear. */
+  /** Returns whether a statement is older than, and differs from, what this daemon knows, so that its sender needs an update. */
   isBehind({ server, limit, age }: LimitStatement, now: Milliseconds): boolean {
     const known = this.#limits.get(server);
     return known !== undefined && known.rate !== (limit?.rate ?? null) && now - age < known.at;
   }
 
-  /** What is known of some servers. */
+  /** Returns statements about the given servers, omitting those about which nothing is known. */
   statementOf(servers: Iterable<ServerId>, now: Milliseconds): LimitStatement[] {
     return [...servers].flatMap((server) => {
       const known = this.#limits.get(server);
@@ -140,12 +144,12 @@
     });
   }
 
-  /** All limits in force, for a daemon that knows none. */
+  /** Returns statements of all limits in force, for a daemon that knows none. */
   statement(now: Milliseconds): LimitStatement[] {
     return this.statementOf(this.inForce.keys(), now);
   }
 
-  /** Forgets what was last known long ago. Returns the limits that were in force until now. */
+  /** Removes limits, and records of ended limits, whose last confirmation is too old. Returns the limits that were in force until now. */
   expire(now: Milliseconds): LimitChange[] {
     const ended: LimitChange[] = [];
     for (const [server, { rate, at }] of this.#limits) {
--- a/src/router/peers/messages.ts
+++ b/src/router/peers/messages.ts
@@ -1,4 +1,4 @@
-/** The messages between daemons, told apart by `kind`. Mirrors proto/router.proto. */
+/** The messages between daemons, discriminated by `kind`. Mirrors proto/router.proto. */
 import type { Configuration } from '../model/configuration.js';
 import type { DaemonName, Key, Milliseconds, ServerId, ServiceName } from '../model/identifiers.js';
 import type { InstanceName } from '../model/server-life.js';
@@ -10,53 +10,53 @@
 import type { CrashRecord } from '../quarantine/crash-record.js';
 import type { EvacuationStatement } from '../news/zone-evacuations.js';
 
-/** The keys that callers asked for, and how often each. */
+/** Request counts of the keys of a service. */
 export interface KeySample {
   readonly service: ServiceName;
   readonly keys: Key[];
-  /** Requests for the key at the same index. */
+  /** Number of requests for the key at the same index. */
   readonly counts: number[];
 }
-/** How long the answers of a server took, those that waited for a slot included. */
+/** Number and total response time of the requests that a server answered, including those that waited for a slot. */
 export interface ServerTimes {
   readonly server: ServerId;
   readonly requests: number;
   readonly total: Milliseconds;
 }
-/** A process of a daemon. */
+/** One incarnation of a daemon, that is, one run of its process. */
 export interface DaemonLife {
   readonly daemon: DaemonName;
   readonly life: number;
 }
-/** A child tells its parent that it is there, what it knows, and what it and the daemons below it have seen. */
+/** Sent by a child to its parent: that it is alive, the versions that it knows, and what its subtree has observed. */
 export interface Report extends DaemonLife {
   readonly kind: 'report';
-  /** `ip:port` for other daemons. */
+  /** Address for connections from other daemons, as `ip:port`. */
   readonly address: string;
   readonly zone: string;
   readonly configurationVersion: number;
-  /** The highest revision of a server's entry. */
+  /** Highest revision of a server's entry that the sender knows. */
   readonly serversRevision: number;
-  /** The store's revision up to which all changes of servers are known, or 0 when there is no list yet. */
+  /** Revision of the store up to which the sender knows all changes of servers, or 0 if it has no list yet. */
   readonly serversPosition: number;
-  /** Of the view that it has, or 0 when that is of another term. */
+  /** Sequence number of the sender's ownership view, or 0 if the view belongs to another term. */
   readonly ownershipSequence: number;
-  /** Daemons at and below this one. */
+  /** Number of daemons in the sender's subtree, including itself. */
   readonly daemons: number;
-  /** Daemons that have joined below it since the last report. */
+  /** Daemons that have joined the sender's subtree since the last report. */
   readonly started: DaemonLife[];
-  /** An owner of keys has too much to do, as this daemon or one below it has seen since the last report. */
+  /** The sender or a descendant has found a server that owns keys overloaded since the last report. */
   readonly overloaded: boolean;
-  /** A relay that did not answer, or empty. */
+  /** Address of a relay that didn't answer, or empty. */
   readonly failedRelay: string;
-  /** Null: the sender's version does not tell. */
+  /** Null if the sender's software version doesn't send this field. */
   readonly evacuations: EvacuationStatement | null;
   readonly samples: KeySample[];
   readonly times: ServerTimes[];
-  /** Owners of keys that asked this daemon, or one below it, for rest since the last report. */
+  /** Key owners that asked the sender or a descendant to back off since the last report. */
   readonly rests: RestReport[];
 }
-/** Which daemon leads. */
+/** Identifies the daemon that leads, and its term. */
 export interface LeaderIdentity {
   readonly term: number;
   readonly leader: DaemonName;
@@ -64,35 +64,35 @@
   readonly leaderAddress: string;
 }
 /**
- * A daemon that has learned of another leader tells its former parent and its children. Those that the store turns away
- * find the leader by it, a former leader among them.
+ * Sent by a daemon that has learned of another leader to its former parent and its children. Daemons whose store requests are rejected
+ * find the leader this way, a former leader among them.
  */
 export interface LeaderNotice extends LeaderIdentity {
   readonly kind: 'leaderNotice';
 }
-/** What is known of the leader, told down the tree. */
+/** What the sender knows of the leader; sent down the propagation tree. */
 export interface Heartbeat extends LeaderIdentity {
   readonly kind: 'heartbeat';
-  /** How long ago the leader said this. */
+  /** Time since the leader sent this information. */
   readonly heardAge: Milliseconds;
-  /** Age of the last confirmation of its leadership by the store, when the leader said this. */
+  /** Age of the store's last confirmation of the leadership, at the time when the leader sent this information. */
   readonly confirmationAge: Milliseconds;
-  /** Of the leader's object as that confirmation left it, or 0 when it is not said. */
+  /** Revision of the leader's object in the store after that confirmation, or 0 if it isn't sent. */
   readonly leaderRevision: number;
-  /** How long ago the store confirmed what the sender knows of configuration and servers. */
+  /** Time since the store last confirmed the sender's configuration and servers. */
   readonly newsAge: Milliseconds;
-  /** Daemons that are connected, the leader among them. */
+  /** Number of connected daemons, including the leader. */
   readonly daemons: number;
-  /** Children of the sender that follow the store beside it. */
+  /** Children of the sender that watch the store in addition to the sender. */
   readonly watchers: DaemonName[];
-  /** Of the sender. */
+  /** Version of the sender's configuration. */
   readonly configurationVersion: number;
-  /** The highest revision of a server's entry that the sender knows. */
+  /** Highest revision of a server's entry that the sender knows. */
   readonly serversRevision: number;
-  /** Null: the sender's version does not tell. */
+  /** Null if the sender's software version doesn't send this field. */
   readonly evacuations: EvacuationStatement | null;
 }
-/** A unit in a statement of ownership. */
+/** The ownership of a unit, a key range with one owner. */
 export interface UnitStatement {
   readonly service: ServiceName;
   readonly from: Key;
@@ -101,63 +101,64 @@
   readonly fence: number;
   readonly granted: boolean;
 }
-/** The leader's statement of ownership: whole, or what has changed since an earlier one. */
+/** The leader's ownership view: a snapshot, or a delta to an earlier sequence number. */
 export interface Ownership {
   readonly kind: 'ownership';
   readonly term: number;
   readonly sequence: number;
-  /** The sequence that the units change, or 0: they are all there are. */
+  /** Sequence number to which `units` is a delta, or 0 if `units` is a snapshot. */
   readonly base: number;
   readonly units: UnitStatement[];
 }
-/** The leader names a relay to a daemon that should be its child. */
+/** Sent by the leader to a daemon that should connect to a relay instead. */
 export interface Redirect {
   readonly kind: 'redirect';
   readonly address: string;
 }
-/** Where news come from; they are not sent back there. */
+/** Where an update came from; it isn't sent back there. */
 export type NewsSource = 'store' | 'parent' | 'child';
-/** One server's entry after a change. */
+/** The entry of one server after a change. */
 export interface ServerChange {
-  /** The name of the entry. */
+  /** Name of the entry. */
   readonly id: InstanceName;
-  /** Null: it is no longer listed. */
+  /** Null if the server is no longer listed. */
   readonly server: ServerDescription | null;
 }
-/** Changes of servers between two revisions of the store. */
+/** Changes of servers between two revisions of the store, or a snapshot. */
 export interface ServerNews {
   readonly kind: 'serverNews';
-  /** Whoever knows all changes up to here can take these in; 0: these are all servers there are. */
+  /** Revision to which `changes` is a delta: a receiver must know all changes up to it. 0 if `changes` is a snapshot of all servers. */
   readonly base: number;
-  /** All changes up to here are known then. */
+  /** Revision up to which all changes are known after `changes` is applied. */
   readonly revision: number;
   readonly changes: ServerChange[];
 }
-/** A configuration, as the store had it at a revision. */
+/** A configuration and its revision in the store. */
 export interface ConfigurationNews {
   readonly kind: 'configurationNews';
   readonly revision: number;
   readonly configuration: Configuration;
 }
 
-/** Requests under which servers ended: what is new, or all there is for a daemon that has just connected. */
+/** Requests during which servers crashed: new records, or a snapshot for a daemon that has just connected. */
 export interface CrashNews {
   readonly kind: 'crashNews';
   readonly records: CrashRecord[];
 }
 
-/** Servers that leave, as answers said it: what is new, or all there is for a daemon that has just connected. */
+/** Servers that announced in responses that they are draining: new ones, or a snapshot for a daemon that has just connected. */
 export interface LeavingNews {
   readonly kind: 'leavingNews';
   readonly servers: LeavingServer[];
 }
 
-/** Limits that servers name for what all daemons together send them: changes, or all there are for a daemon that has just connected. */
+/** Rate limits that servers announce for all daemons together: changes, or a snapshot for a daemon that has just connected. */
 export interface LimitNews {
   readonly kind: 'limitNews';
   readonly limits: LimitStatement[];
 }
 
+/** A message between two daemons. */
 export type PeerMessage =
   | Report
   | Heartbeat
--- a/src/router/sharing/equal-part.ts
+++ b/src/router/sharing/equal-part.ts
@@ -1,9 +1,9 @@
 /**
- * A number that holds for all daemons together, in equal parts: each daemon needs to know only how many there are. Fits what every daemon needs
- * about as much of, and what is large beside the number of daemons.
+ * Divides a total for all daemons into equal shares. Needs no coordination: a daemon must know only the number of daemons. Suits totals that are
+ * large compared with that number, and resources that all daemons need about equally.
  */
 
-/** One daemon's part. */
+/** Returns one daemon's share. */
 export function equalPart(total: number, daemons: number): number {
   return total / daemons;
 }
--- a/src/router/sharing/turns.ts
+++ b/src/router/sharing/turns.ts
@@ -1,50 +1,55 @@
 /**
- * A rate that holds for all daemons together, which do not see each other's requests: each may send one request in each of its turns. The
- * turns of a daemon come at a time of its own and so far apart that those of all daemons add up to the rate. A turn that is not used is lost,
- * since requests that were saved up would come at once.
+ * Enforces a request rate for all daemons together without coordination: a daemon may send one request in each of its send windows. Each
+ * daemon's windows begin at their own phase, and are so far apart that the requests of all daemons add up to the rate. An unused window
+ * is lost, since requests that were saved up would arrive in a burst.
  */
 import type { Milliseconds } from '../model/identifiers.js';
 
-/** A turn lasts this long: long enough that a busy daemon has a request for it. */
+/** Length of a send window: long enough that a busy daemon has a request to send in it. */
 export const TURN: Milliseconds = 250;
 const SECOND: Milliseconds = 1_000;
 
-/** Time between the beginnings of two turns of one daemon, for a rate in requests a second. */
+/**
+ * Returns the time between the starts of two send windows of one daemon.
+ *
+ * @param rate of all daemons together, in requests per second
+ */
 export function turnInterval(rate: number, daemons: number): Milliseconds {
   return (daemons * SECOND) / rate;
 }
 
-/** One daemon's turns at one server. */
+/** The send windows of one daemon at one server. */
 export class Turns {
-  /** Part of the interval at which the turns begin: drawn for each daemon and server. */
+  /** Offset of the windows as a fraction of the interval, random for each daemon and server. */
   readonly #phase: number;
   #usedAt: Milliseconds = Number.NEGATIVE_INFINITY;
 
-  /** @param phase from 0 to 1 */
+  /** @param phase offset of the windows, from 0 to 1 of the interval */
   constructor(phase: number) {
     this.#phase = phase;
   }
 
-  /** Whether a request may be sent now. */
+  /** Returns whether a request may be sent now. */
   allows(interval: Milliseconds, now: Milliseconds): boolean {
-    const intoTurn = this.#sinceBeginning(interval, now);
-    const isTurn = intoTurn < TURN;
-    // The longest time between requests of one turn and the next, less a turn; turns that touch are one request each.
-    const sinceUse = now - this.#usedAt;
-    return isTurn && sinceUse >= Math.max(interval - TURN, intoTurn, interval / 2);
+    const timeIntoWindow = this.#timeSinceWindowStart(interval, now);
+    const isInWindow = timeIntoWindow < TURN;
+    // One request per window: the previous one must lie before this window, and at least the gap between two windows back. Half the
+    // interval separates requests where windows touch.
+    const timeSinceUse = now - this.#usedAt;
+    return isInWindow && timeSinceUse >= Math.max(interval - TURN, timeIntoWindow, interval / 2);
   }
 
-  /** Time until the next turn begins. */
+  /** Returns the time until the next window starts. */
   untilNext(interval: Milliseconds, now: Milliseconds): Milliseconds {
-    return interval - this.#sinceBeginning(interval, now);
+    return interval - this.#timeSinceWindowStart(interval, now);
   }
 
-  /** A request is sent. */
+  /** Records that a request is sent in the current window. */
   use(now: Milliseconds): void {
     this.#usedAt = now;
   }
 
-  #sinceBeginning(interval: Milliseconds, now: Milliseconds): Milliseconds {
+  #timeSinceWindowStart(interval: Milliseconds, now: Milliseconds): Milliseconds {
     return (now + this.#phase * interval) % interval;
   }
 }
--- a/src/router/tree/children.ts
+++ b/src/router/tree/children.ts
@@ -1,4 +1,4 @@
-/** The daemons that report to this one: who they are, what they lack, and what they pass up. */
+/** Handles the reports of this daemon's children: merges their data, sends the updates that they lack, and redirects new ones to relays. */
 import { noteVersionsOf } from '../feed-lag.js';
 import { catchUp } from '../news/spread-news.js';
 import { takeEvacuations } from '../news/take-evacuations.js';
@@ -11,7 +11,7 @@
 import { noteOverload, tallyKeys } from './reports.js';
 import { type Child, isReporting } from './tree-state.js';
 
-/** A child reported. */
+/** Merges a child's report and sends the updates that the child lacks. Redirects a new child to a relay or adds it. */
 export function receiveReport(context: RouterContext, link: number, report: Report): void {
   takeEvacuations(context, report.evacuations);
   report.samples.forEach((sample) => tallyKeys(context, sample));
@@ -41,7 +41,7 @@
   addChild(context, link, report);
 }
 
-/** Only the leader sends daemons elsewhere, and only those without children of their own. */
+/** Returns the relay for a new child, or undefined. Only the leader redirects, and only daemons without children of their own. */
 function relayFor({ state, now }: RouterContext, report: Report): Child | undefined {
   if (state.leadership === null || report.daemons > 1) {
     return undefined;
@@ -81,13 +81,13 @@
   const isCurrent = view.term > 0 && view.term === (leadership?.term ?? election.leader?.term);
   const isChanging = leadership?.viewChanged === true;
   if (isCurrent && report.ownershipSequence !== view.sequence && !isChanging) {
-    // It has missed a change, or has just come.
+    // The child missed an ownership change or has just connected.
     context.emit({ kind: 'sendToChildren', link, message: wholeStatement(view) });
   }
   catchUp(context, link, child, report);
 }
 
-/** A child's connection ended. */
+/** Removes a child whose connection has ended. */
 export function forgetChild(context: RouterContext, link: number): void {
   const { children } = context.state.tree;
   const child = children.get(link);
--- a/src/router/tree/heartbeats.ts
+++ b/src/router/tree/heartbeats.ts
@@ -1,4 +1,4 @@
-/** Heartbeats to the children: the leader's own, or what a relay has heard of the leader. */
+/** Heartbeats to the children: the leader's own, or those that a relay forwards with the age of the leader's last heartbeat. */
 import type { Milliseconds } from '../model/identifiers.js';
 import {
   CONFIRMATION_VALIDITY,
@@ -10,24 +10,24 @@
 import type { RouterContext } from '../router-context.js';
 import { type Child, isReporting } from './tree-state.js';
 
-/** Children of the leader that follow the store beside it. */
+/** Number of the leader's children that watch the store in addition to the leader. */
 const WATCHERS = 2;
-/** A relay that the store answered this recently is looking for the next leader, and is not cut off. */
+/** A relay to which the store responded within this time is searching for the next leader and is not disconnected. */
 const STORE_ANSWER_PATIENCE: Milliseconds = 1_000;
-/** The greatest age of a confirmation that is passed on: a leader that resigns says one without bound. */
+/** Maximum confirmation age that a relay forwards: a leader that resigns sends an unbounded one. */
 const LONGEST_AGE: Milliseconds = 3_000;
 
-/** The children that follow the store: those that have been there longest, of different zones if there are some. */
+/** Returns the children that watch the store: those connected longest, from different zones where possible. */
 export function chooseWatchers({ state, now }: RouterContext): string[] {
   const { tree, identity } = state;
   const chosen: Child[] = [];
-  // Watchers that are gone can't tell of a change that the leader misses.
+  // An unreachable watcher couldn't report a change that the leader missed.
   const children = [...tree.children.values()].filter((child) => isReporting(child, now));
-  const isOfNewZone = ({ zone }: Child): boolean =>
+  const isInNewZone = ({ zone }: Child): boolean =>
     zone !== identity.zone && chosen.every((other) => other.zone !== zone);
   while (chosen.length < Math.min(WATCHERS, children.length)) {
-    const open = children.filter((child) => !chosen.includes(child));
-    chosen.push((open.find(isOfNewZone) ?? open[0]) as Child);
+    const remaining = children.filter((child) => !chosen.includes(child));
+    chosen.push((remaining.find(isInNewZone) ?? remaining[0]) as Child);
   }
   return chosen.map(({ daemon }) => daemon);
 }
@@ -84,12 +84,12 @@
   };
 }
 
-/** What a child should hear now, or null when this daemon has nothing to say of a leader. */
+/** Returns the heartbeat for the children, or null if this daemon has no recent information about a leader. */
 export function buildHeartbeat(context: RouterContext): Heartbeat | null {
   return leaderHeartbeat(context) ?? relayedHeartbeat(context);
 }
 
-/** Sends the heartbeat when it is due. */
+/** Sends a heartbeat to all children when one is due. */
 export function tickHeartbeats(context: RouterContext): void {
   const { tree } = context.state;
   if (context.now < tree.nextHeartbeatAt || tree.children.size === 0) {
@@ -102,7 +102,7 @@
   }
 }
 
-/** Sends the next heartbeat at once: another daemon leads. */
+/** Makes the next heartbeat due now, for example after a change of leader. */
 export function hastenHeartbeat({ state, now }: RouterContext): void {
   state.tree.nextHeartbeatAt = now;
 }
--- a/src/router/tree/key-tally.ts
+++ b/src/router/tree/key-tally.ts
@@ -1,5 +1,5 @@
-/** How often callers asked for keys. */
+/** Request counts by key, which the leader uses to assign keys. */
 import type { Key } from '../model/identifiers.js';
 
-/** How often each key was asked for. */
+/** Number of requests for each key. */
 export type KeyTally = Map<Key, number>;
--- a/src/router/tree/parent.ts
+++ b/src/router/tree/parent.ts
@@ -1,4 +1,4 @@
-/** A daemon's parent: the leader, or a relay that the leader named. Who loses its relay goes back to the leader. */
+/** A daemon's parent: the leader, or a relay to which the leader redirected it. A daemon that loses its relay reconnects to the leader. */
 import type { ParentLinkClosedEvent } from '../events.js';
 import type { Milliseconds } from '../model/identifiers.js';
 import { HEARTBEAT_PATIENCE } from '../ownership/ownership-timing.js';
@@ -6,10 +6,10 @@
 import type { RouterContext } from '../router-context.js';
 import { isRelayed } from './tree-state.js';
 
-/** A daemon that left its relay hears from the leader within this time, if there is one. */
+/** Time within which a daemon that has left its relay receives a heartbeat from the leader, if there is one. */
 const LEADER_GRACE: Milliseconds = 400;
 
-/** Connects to another parent, or to none. */
+/** Connects to another parent, or disconnects if `address` is null. */
 export function follow(context: RouterContext, address: string | null): void {
   const { tree } = context.state;
   tree.parent = address;
@@ -18,7 +18,7 @@
   context.emit({ kind: 'follow', address });
 }
 
-/** The leader names a relay. */
+/** Connects to the relay to which the leader redirects this daemon. */
 export function receiveRedirect(context: RouterContext, { address }: Redirect): void {
   const { tree, identity } = context.state;
   if (address === identity.peerAddress || address === tree.parent) {
@@ -39,7 +39,7 @@
   follow(context, leader);
 }
 
-/** Leaves a relay that has fallen silent. */
+/** Leaves a relay that has become unresponsive. */
 export function tickParent(context: RouterContext): void {
   const { tree } = context.state;
   if (
@@ -50,7 +50,7 @@
   }
 }
 
-/** The connection to the parent ended or could not be made. */
+/** Handles that the connection to the parent has ended or could not be opened. */
 export function receiveParentClosed(context: RouterContext, event: ParentLinkClosedEvent): void {
   if (
     event.address === context.state.tree.parent &&
--- a/src/router/tree/relay-choice.ts
+++ b/src/router/tree/relay-choice.ts
@@ -1,11 +1,11 @@
-/** Whom a daemon that came to the leader is sent to. Pure. */
+/** Chooses the relay to which the leader redirects a daemon that connects to it. Pure. */
 import type { Child } from './tree-state.js';
 
-/** With no more children than this the leader keeps every daemon: small deployments have no relays. */
+/** The leader redirects only when it has at least this many children: small deployments have no relays. */
 const FIRST_RELAYS = 12;
-/** Each zone has this many relays, so that news cross zones seldom and the loss of one relay is borne. */
+/** Relays in each zone, so that few updates cross zones and the loss of one relay is tolerated. */
 const RELAYS_PER_ZONE = 2;
-/** Daemons at and below a relay; with 12 relays that is enough for 300. */
+/** Maximum number of daemons in a relay's subtree including itself; 12 relays suffice for about 300 daemons. */
 const MOST_BELOW = 24;
 
 function lightest(children: readonly Child[]): Child | undefined {
@@ -16,15 +16,15 @@
 }
 
 /**
- * The child that should take a new daemon of a zone, or undefined when the leader should keep it.
+ * Returns the child to which a new daemon of a zone is redirected, or undefined if it stays with the leader.
  *
- * @param failed a relay that the daemon found unable to answer
+ * @param failed address of a relay that didn't answer the daemon, or empty
  */
 export function chooseRelay(children: readonly Child[], zone: string, failed: string): Child | undefined {
-  const ofZone = children.filter((child) => child.zone === zone);
-  if (children.length < FIRST_RELAYS || ofZone.length < RELAYS_PER_ZONE) {
+  const inZone = children.filter((child) => child.zone === zone);
+  if (children.length < FIRST_RELAYS || inZone.length < RELAYS_PER_ZONE) {
     return undefined;
   }
-  const isOpen = (child: Child): boolean => child.daemons < MOST_BELOW && child.address !== failed;
-  return lightest(ofZone.filter(isOpen)) ?? lightest(children.filter(isOpen));
+  const isEligible = (child: Child): boolean => child.daemons < MOST_BELOW && child.address !== failed;
+  return lightest(inZone.filter(isEligible)) ?? lightest(children.filter(isEligible));
 }
--- a/src/router/tree/reports.ts
+++ b/src/router/tree/reports.ts
@@ -1,4 +1,4 @@
-/** A daemon's periodic report to its parent: that it is there, what it knows, what callers asked for at and below it. */
+/** A daemon's periodic report to its parent: that it is alive, the versions it knows, and the requests and response times in its subtree. */
 import type { Milliseconds, ServiceName } from '../model/identifiers.js';
 import { REPORT_INTERVAL } from '../ownership/ownership-timing.js';
 import type { KeySample, ServerTimes } from '../peers/messages.js';
@@ -6,24 +6,24 @@
 import type { KeyTally } from './key-tally.js';
 import { daemonsBelow } from './tree-state.js';
 
-/** A report that says of load that is too much comes this soon after the one before. */
+/** Minimum time between reports when one is sent early, for example because a server is overloaded. */
 const HASTENED_INTERVAL: Milliseconds = 150;
-/** The same for a relay, so that word of load takes about 200 ms to the leader. */
+/** Minimum time between early reports of a relay, so that an overload report reaches the leader in about 200 ms. */
 const HASTENED_RELAY_INTERVAL: Milliseconds = 50;
-/** A relay passes on what it hears this soon: its children's reports have waited already. */
+/** Report interval of a relay; short, since the reports that it forwards have already waited at its children. */
 const RELAY_REPORT_INTERVAL: Milliseconds = 250;
-/** Keys of one service in one report; the ones asked for most. */
+/** Maximum number of keys of one service in a report; the most requested ones are reported. */
 const MOST_KEYS = 2_000;
 
-/** Adds keys to the tally of a service. */
+/** Adds request counts of keys to those of their service. */
 export function tallyKeys(context: RouterContext, { service, keys, counts }: KeySample): void {
   const { keyTallies } = context.state;
-  const tally: KeyTally = keyTallies.get(service) ?? new Map();
-  keys.forEach((key, index) => tally.set(key, (tally.get(key) ?? 0) + (counts[index] ?? 1)));
-  keyTallies.set(service, tally);
+  const requestCounts: KeyTally = keyTallies.get(service) ?? new Map();
+  keys.forEach((key, index) => requestCounts.set(key, (requestCounts.get(key) ?? 0) + (counts[index] ?? 1)));
+  keyTallies.set(service, requestCounts);
 }
 
-/** How long servers of keyed services took, here and below: the leader places keys by it. */
+/** Returns and resets the response times of servers of keyed services in this daemon's subtree. The leader assigns keys by them. */
 export function takeTimes(context: RouterContext): ServerTimes[] {
   const { servers, configuration, tree } = context.state;
   const times: ServerTimes[] = tree.times;
@@ -41,7 +41,7 @@
   return times;
 }
 
-function toSample([service, tally]: [ServiceName, KeyTally]): KeySample {
+function toSample([service, requestCounts]: [ServiceName, KeyTally]): KeySample {
   let entries = [...tally];
   if (entries.length > MOST_KEYS) {
     entries = entries.sort(([, left], [, right]) => right - left).slice(0, MOST_KEYS);
@@ -49,32 +49,32 @@
   return { service, keys: entries.map(([key]) => key), counts: entries.map(([, count]) => count) };
 }
 
-/** Takes the keys that were asked for since they were last taken. */
+/** Returns and resets the request counts of keys. */
 export function takeKeySamples(context: RouterContext): KeySample[] {
   const samples = [...context.state.keyTallies].map(toSample);
   context.state.keyTallies.clear();
   return samples;
 }
 
-/** The parent should hear soon: news were missed, for example. */
+/** Makes the next report due early, for example after missed updates. */
 export function hastenReport({ state }: RouterContext): void {
   const { election, tree } = state;
   const interval = tree.children.size > 0 ? HASTENED_RELAY_INTERVAL : HASTENED_INTERVAL;
   election.nextReportAt = Math.min(election.nextReportAt, election.lastReportAt + interval);
 }
 
-/** An owner of keys has too much to do: the leader should plan soon. */
+/** Reports early that a server that owns keys is overloaded, so that the leader soon makes a new assignment plan. */
 export function noteOverload(context: RouterContext): void {
   context.state.tree.overloaded = true;
   hastenReport(context);
 }
 
-/** A link to a parent is up: it learns at once who has come. */
+/** Makes the next report due now, so that a new parent learns at once which daemon has connected. */
 export function reportAtOnce(context: RouterContext): void {
   context.state.election.nextReportAt = context.now;
 }
 
-/** Sends the report when it is due. */
+/** Sends a report to the parent when one is due. */
 export function tickReports(context: RouterContext): void {
   const { state, now } = context;
   const { election, tree, identity } = state;
--- a/src/router/tree/tree-state.ts
+++ b/src/router/tree/tree-state.ts
@@ -1,6 +1,6 @@
 /**
- * The tree of daemons: the leader at the root, relays below it, the others below the relays. A child holds one connection
- * to its parent; reports go up, heartbeats, ownership and news of the store go down.
+ * The propagation tree of daemons: the leader is the root, relays are its children, and the other daemons are children of the relays. A
+ * child keeps one connection to its parent. Reports are sent up the tree; heartbeats, ownership and updates from the store are sent down.
  */
 import type { DaemonName, Milliseconds } from '../model/identifiers.js';
 import { REPORT_INTERVAL } from '../ownership/ownership-timing.js';
@@ -12,52 +12,56 @@
   readonly address: string;
   readonly zone: string;
   lastReportAt: Milliseconds;
-  /** Daemons at and below it, those included that were just sent there. */
+  /** Daemons in the child's subtree including itself, and those just redirected to it. */
   daemons: number;
-  /** When it was last sent the whole list of servers, and a configuration. */
+  /** When the child was last sent the complete list of servers. */
   serversSentAt: Milliseconds;
+  /** When the child was last sent a configuration. */
   configurationSentAt: Milliseconds;
 }
 
-/** A child that has not reported for this long is not counted on. */
+/** Time without a report after which a child is treated as unreachable. */
 const CHILD_PATIENCE: Milliseconds = 4 * REPORT_INTERVAL;
 
-/** Whether a child still reports. Nothing ends the connection of one whose machine has lost power. */
+/** Returns whether a child still reports. If a child's machine loses power, nothing closes its connection. */
 export function isReporting({ lastReportAt }: Child, now: Milliseconds): boolean {
   return now - lastReportAt < CHILD_PATIENCE;
 }
 
-/** A daemon's place in the tree. */
+/** A daemon's position in the propagation tree, and the data for its next report. */
 export interface TreeState {
   /** Address of the parent, or null for none. */
   parent: string | null;
+  /** When the daemon switched to the current parent. */
   followedSince: Milliseconds;
-  /** The leader sent this daemon to a relay, and has not been heard directly since. */
+  /** The leader redirected this daemon to a relay, and no heartbeat has arrived directly from a leader since. */
   wasRelayed: boolean;
-  /** When the parent last said anything. */
+  /** When the parent last sent a heartbeat or redirected this daemon. */
   parentHeardAt: Milliseconds;
-  /** When the store confirmed what the parent knows, as far as it has told. */
+  /** When the store last confirmed the parent's configuration and servers, by the heartbeats received. */
   newsConfirmedAt: Milliseconds;
-  /** News are older than changes may take to be in force; said in the log. */
+  /** Configuration and servers have been unconfirmed for longer than a change may take to be in force; this was logged. */
   newsAreOld: boolean;
-  /** After it left a relay, the daemon gives the leader until then to be heard. */
+  /** Time until which a daemon that has left its relay waits for a heartbeat from the leader. */
   leaderGraceUntil: Milliseconds;
-  /** The last relay that did not answer, or empty. */
+  /** Address of the last relay that didn't answer, or empty. */
   failedRelay: string;
-  /** Children of the parent that follow the store beside it. */
+  /** Children of the parent that watch the store in addition to the parent; empty if the parent is a relay. */
   watchers: readonly DaemonName[];
+  /** The children, by link number. */
   readonly children: Map<number, Child>;
-  /** Not yet told to the parent: daemons that have joined below, and times of servers that they told. */
+  /** Daemons that have joined this subtree since the last report. */
   started: DaemonLife[];
+  /** Response times of servers that children reported since the last report. */
   times: ServerTimes[];
-  /** Not yet told: owners that asked for rest, here and below. */
+  /** Key owners that asked this daemon or a descendant to back off, since the last report. */
   rests: RestReport[];
-  /** Not yet told to the parent: an owner of keys has too much to do. */
+  /** A server that owns keys was overloaded since the last report. */
   overloaded: boolean;
   nextHeartbeatAt: Milliseconds;
 }
 
-/** The place of a daemon that knows nobody. */
+/** Returns the position of a daemon that knows no other daemon. */
 export function createTree(): TreeState {
   return {
     parent: null,
@@ -78,7 +82,7 @@
   };
 }
 
-/** Daemons below this one that report. */
+/** Returns the number of descendants of this daemon whose branch still reports. */
 export function daemonsBelow({ children }: TreeState, now: Milliseconds): number {
   let daemons = 0;
   for (const child of children.values()) {
@@ -87,7 +91,7 @@
   return daemons;
 }
 
-/** Whether the parent is a relay and not the leader, whose address is given. */
+/** Returns whether the parent is a relay, and not the leader with the given address. */
 export function isRelayed({ parent }: TreeState, leaderAddress: string | undefined): boolean {
   return parent !== null && parent !== leaderAddress;
 }
