--- a/test/router/limits/test-limit-sharing.ts
+++ b/test/router/limits/test-limit-sharing.ts
@@ -1,27 +1,27 @@
-/** How much of a limit is used, by few and by many daemons, and what nobody may get beyond it. */
+/** How much of a rate limit is used with few and many daemons, and that servers receive no more than it allows. */
 import { expect } from 'earl';
 import { describe, it } from 'node:test';
 import { allowed, LimitDay } from '../support/limit-day.js';
 import type { ModelServer } from '../support/model-server.js';
 
 const SERVERS = 6;
-/** Requests for each that a limit leaves: far more than fit. */
-const OVERLOAD = 4;
-const MEASURED = 10_000;
+/** Demand as a multiple of the limits: far more requests than the limits allow. */
+const DEMAND_FACTOR = 4;
+const MEASURED_TIME = 10_000;
 const SECOND = 1_000;
 
-interface Use {
-  /** Part of the places of the first second that were used. */
+interface LimitUse {
+  /** Fraction of the limits that was used in the first second. */
   readonly firstSecond: number;
-  /** Part of the places that were used from the third second on. */
-  readonly later: number;
-  /** The most that any server got in a window that counts. */
-  readonly worst: number;
+  /** Fraction of the limits that was used from the third second on. */
+  readonly fromThirdSecond: number;
+  /** Most requests that any server received in a window in which its limit is checked. */
+  readonly mostInWindow: number;
 }
 
-/** All servers of a service name a limit, and are asked for more. */
-function playAllLimited(daemons: number, asked: number, limit: number, isPlain: boolean): Use {
-  const demand = SERVERS * limit * OVERLOAD;
+/** Simulates a service whose servers all announce a limit, with more demand than the limits allow. */
+function simulateAllLimited(daemons: number, asked: number, limit: number, isPlain: boolean): LimitUse {
+  const demand = SERVERS * limit * DEMAND_FACTOR;
   const plainServers = isPlain ? SERVERS : 0;
   const day = new LimitDay({ seed: 1, daemons, servers: SERVERS, plainServers, demand, asked, isPlain });
   const servers = day.world.servers.slice(plainServers === 0 ? 0 : SERVERS);
@@ -33,37 +33,37 @@
   const firstSecond = usedSince(begin);
   day.run(SECOND);
   const from = day.now;
-  day.run(MEASURED);
-  const worst = Math.max(...servers.map((server) => day.counted(server)));
-  return { firstSecond, later: usedSince(from) / (MEASURED / SECOND), worst };
+  day.run(MEASURED_TIME);
+  const mostInWindow = Math.max(...servers.map((server) => day.counted(server)));
+  return { firstSecond, fromThirdSecond: usedSince(from) / (MEASURED_TIME / SECOND), mostInWindow };
 }
 
-describe('the places that limits leave', () => {
+describe('the capacity that rate limits allow', () => {
   for (const isPlain of [false, true]) {
-    const kind = isPlain ? 'servers that share their work' : 'owners of keys';
+    const serverType = isPlain ? 'servers without keys' : 'key owners';
     for (const daemons of [5, 11, 40, 195]) {
-      it(`are used, and no more, with ${daemons} daemons that all have too many requests for ${kind}`, () => {
-        const { later, worst } = playAllLimited(daemons, daemons, 3, isPlain);
-        expect(later >= 0.9 && later <= 1.05).toEqual(true);
-        expect(worst <= allowed(3)).toEqual(true);
+      it(`is used and not exceeded with ${daemons} daemons that all have too many requests for ${serverType}`, () => {
+        const { fromThirdSecond, mostInWindow } = simulateAllLimited(daemons, daemons, 3, isPlain);
+        expect(fromThirdSecond >= 0.9 && fromThirdSecond <= 1.05).toEqual(true);
+        expect(mostInWindow <= allowed(3)).toEqual(true);
       });
     }
 
-    it(`are used within a second where one daemon of 11 has all requests for ${kind}`, () => {
-      const { firstSecond, later, worst } = playAllLimited(11, 1, 3, isPlain);
+    it(`is used within a second if one daemon of 11 has all requests for ${serverType}`, () => {
+      const { firstSecond, fromThirdSecond, mostInWindow } = simulateAllLimited(11, 1, 3, isPlain);
       expect(firstSecond >= 0.5).toEqual(true);
-      expect(later >= 0.9).toEqual(true);
-      expect(worst <= allowed(3)).toEqual(true);
+      expect(fromThirdSecond >= 0.9).toEqual(true);
+      expect(mostInWindow <= allowed(3)).toEqual(true);
     });
   }
 
-  it('are used where they are few: one request in two seconds, of 40 daemons', () => {
-    const { later, worst } = playAllLimited(40, 40, 0.5, false);
-    expect(later >= 0.8).toEqual(true);
-    expect(worst <= allowed(0.5)).toEqual(true);
+  it('is used with a low limit: one request in two seconds for 40 daemons', () => {
+    const { fromThirdSecond, mostInWindow } = simulateAllLimited(40, 40, 0.5, false);
+    expect(fromThirdSecond >= 0.8).toEqual(true);
+    expect(mostInWindow <= allowed(0.5)).toEqual(true);
   });
 
-  it('are not waited for by requests that come too late for them: they are refused at once, with a time to come back', () => {
+  it('delays no request that it cannot serve in time: the request is rejected at once with a retry time', () => {
     const day = new LimitDay({ seed: 2, daemons: 11, servers: SERVERS, demand: 120 });
     day.world.servers.forEach((server: ModelServer) => day.limit(server, 2));
     day.run(2_000);
--- a/test/router/limits/test-limit-spread.ts
+++ b/test/router/limits/test-limit-spread.ts
@@ -1,18 +1,18 @@
 /*
- * A server's limit holds for all daemons together. The daemon that had the answer tells the others along the tree, those included that have
- * had no answer of that server; a daemon that starts learns of it from its parent.
+ * A server's rate limit applies to all daemons together. The daemon that received the response propagates the limit along the tree to the
+ * others, including those that have had no response from the server. A daemon that starts receives the limits from its parent.
  */
 import { expect } from 'earl';
 import { describe, it } from 'node:test';
 import { type Daemon, RouterWorld } from '../support/router-world.js';
 
-const SETTLED = 6_000;
-/** Under a calm leader word passes within this time, in ms. */
-const SPREAD = 150;
+const SETTLED_AT = 6_000;
+/** Time in ms within which an update reaches all daemons under a stable leader. */
+const PROPAGATION_TIME = 150;
 const SERVER = 's2';
 
-/** A daemon gets an answer of a server that names a limit, or none. */
-function answer(world: RouterWorld, daemon: Daemon, reading: number | null): void {
+/** Delivers to a daemon a server's response that announces a limit, or none. */
+function deliverResponse(world: RouterWorld, daemon: Daemon, reading: number | null): void {
   const now = daemon.clock.now();
   world.deliver(daemon, { kind: 'serverLimitRead', server: SERVER, reading, sentAt: now - 0.5 });
 }
@@ -25,86 +25,86 @@
   return world.daemons.map(({ state }) => state.limits.of(SERVER));
 }
 
-/** The server's answers to calls say what the tests have daemons read. */
-function nameLimit(world: RouterWorld, rate: number | null): void {
+/** Makes the server announce the same limit in its responses to control calls as the tests deliver to daemons. */
+function announceLimit(world: RouterWorld, rate: number | null): void {
   world.servers.filter(({ id }) => id === SERVER).forEach((server) => (server.limit = rate));
 }
 
-describe('the word of a limit', () => {
-  it('reaches every daemon, and so do its change and its end', () => {
+describe('the propagation of a limit', () => {
+  it('reaches every daemon when the limit begins, changes and ends', () => {
     const world = new RouterWorld(3, 6, 5);
-    world.clock.runUntil(SETTLED);
+    world.clock.runUntil(SETTLED_AT);
     for (const rate of [3, 1.5, 6, 0, null]) {
-      nameLimit(world, rate);
-      answer(world, follower(world), rate);
-      world.clock.runUntil(world.clock.now + SPREAD);
+      announceLimit(world, rate);
+      deliverResponse(world, follower(world), rate);
+      world.clock.runUntil(world.clock.now + PROPAGATION_TIME);
       expect(limits(world)).toEqual(world.daemons.map(() => rate));
     }
   });
 
-  it('reaches every daemon of 40, through relays', () => {
+  it('reaches each of 40 daemons through relays', () => {
     const world = new RouterWorld(4, 40, 5);
-    world.clock.runUntil(SETTLED);
-    nameLimit(world, 3);
-    answer(world, world.daemons.at(-1) as Daemon, 3);
-    world.clock.runUntil(SETTLED + SPREAD);
+    world.clock.runUntil(SETTLED_AT);
+    announceLimit(world, 3);
+    deliverResponse(world, world.daemons.at(-1) as Daemon, 3);
+    world.clock.runUntil(SETTLED_AT + PROPAGATION_TIME);
     expect(limits(world)).toEqual(world.daemons.map(() => 3));
   });
 
-  it('is heard by the leader in the answers to its calls, where no request goes to the server', () => {
+  it('starts from the responses to the control calls of the leader if the server receives no requests', () => {
     const world = new RouterWorld(5, 6, 5);
-    world.clock.runUntil(SETTLED);
-    nameLimit(world, 3);
-    world.clock.runUntil(SETTLED + 1_000);
+    world.clock.runUntil(SETTLED_AT);
+    announceLimit(world, 3);
+    world.clock.runUntil(SETTLED_AT + 1_000);
     expect(limits(world)).toEqual(world.daemons.map(() => 3));
-    nameLimit(world, null);
-    world.clock.runUntil(SETTLED + 2_000);
+    announceLimit(world, null);
+    world.clock.runUntil(SETTLED_AT + 2_000);
     expect(limits(world)).toEqual(world.daemons.map(() => null));
   });
 
-  it('passes while the store is away', () => {
+  it('works while the store is unreachable', () => {
     const world = new RouterWorld(6, 6, 5);
-    world.clock.runUntil(SETTLED);
+    world.clock.runUntil(SETTLED_AT);
     world.daemons.forEach((daemon) => (daemon.storeReachable = false));
-    world.clock.runUntil(SETTLED + 2_000);
-    nameLimit(world, 3);
-    answer(world, follower(world), 3);
-    world.clock.runUntil(SETTLED + 2_000 + SPREAD);
+    world.clock.runUntil(SETTLED_AT + 2_000);
+    announceLimit(world, 3);
+    deliverResponse(world, follower(world), 3);
+    world.clock.runUntil(SETTLED_AT + 2_000 + PROPAGATION_TIME);
     expect(limits(world)).toEqual(world.daemons.map(() => 3));
   });
 
-  it('is learned by a daemon that starts anew', () => {
+  it('reaches a daemon that restarts', () => {
     const world = new RouterWorld(7, 6, 5);
-    world.clock.runUntil(SETTLED);
+    world.clock.runUntil(SETTLED_AT);
     const daemon = follower(world);
-    nameLimit(world, 3);
+    announceLimit(world, 3);
     daemon.alive = false;
-    world.clock.runUntil(SETTLED + 1_000);
+    world.clock.runUntil(SETTLED_AT + 1_000);
     world.startDaemon(daemon);
-    world.clock.runUntil(SETTLED + 3_000);
+    world.clock.runUntil(SETTLED_AT + 3_000);
     expect(daemon.state.limits.of(SERVER)).toEqual(3);
   });
 
-  it('holds where two daemons read different things at once: the limit does, until a later request tells of its end', () => {
+  it('keeps the limit, when two daemons read different values, until a later request shows its end', () => {
     const world = new RouterWorld(8, 6, 5);
-    world.clock.runUntil(SETTLED);
+    world.clock.runUntil(SETTLED_AT);
     const [first, second] = world.daemons as [Daemon, Daemon];
-    nameLimit(world, 3);
-    answer(world, first, 3);
-    world.clock.runUntil(SETTLED + SPREAD);
+    announceLimit(world, 3);
+    deliverResponse(world, first, 3);
+    world.clock.runUntil(SETTLED_AT + PROPAGATION_TIME);
     const sentAt = second.clock.now();
-    world.clock.runUntil(SETTLED + SPREAD + 20);
-    answer(world, first, 3);
+    world.clock.runUntil(SETTLED_AT + PROPAGATION_TIME + 20);
+    deliverResponse(world, first, 3);
     world.deliver(second, { kind: 'serverLimitRead', server: SERVER, reading: null, sentAt });
-    world.clock.runUntil(SETTLED + 2 * SPREAD);
+    world.clock.runUntil(SETTLED_AT + 2 * PROPAGATION_TIME);
     expect(limits(world)).toEqual(world.daemons.map(() => 3));
   });
 
-  it('is told as changes only: a limit that stays costs the links nothing', () => {
+  it('sends only changes: an unchanged limit causes no further updates', () => {
     const world = new RouterWorld(9, 6, 5);
-    world.clock.runUntil(SETTLED);
-    nameLimit(world, 3);
-    world.clock.runUntil(SETTLED + 5_000);
+    world.clock.runUntil(SETTLED_AT);
+    announceLimit(world, 3);
+    world.clock.runUntil(SETTLED_AT + 5_000);
     const lines = world.events.filter((line) => line.includes('server_names_limit'));
     expect(lines.length).toEqual(world.daemons.length);
   });
--- a/test/router/limits/test-limit-troubles.ts
+++ b/test/router/limits/test-limit-troubles.ts
@@ -1,4 +1,4 @@
-/** Limits that change, and daemons, leaders and the store that fail while servers name them. */
+/** Rate limits that change, and failures of daemons, leaders and the store while limits are in force. */
 import { expect } from 'earl';
 import { describe, it } from 'node:test';
 import { SeededRandom } from '../../../src/core/random.js';
@@ -6,10 +6,10 @@
 import type { ModelServer } from '../support/model-server.js';
 import type { Daemon } from '../support/router-world.js';
 
-const DAY: LimitDayOptions = { seed: 1, daemons: 11, servers: 6, demand: 90 };
+const DEFAULTS: LimitDayOptions = { seed: 1, daemons: 11, servers: 6, demand: 90 };
 const LIMIT = 3;
 
-function limited(options: Partial<LimitDayOptions> = {}): { day: LimitDay; servers: readonly ModelServer[] } {
+function startLimited(options: Partial<LimitDayOptions> = {}): { day: LimitDay; servers: readonly ModelServer[] } {
   const day = new LimitDay({ ...DAY, ...options });
   const { servers } = day.world;
   servers.forEach((server) => day.limit(server, LIMIT));
@@ -17,14 +17,14 @@
   return { day, servers };
 }
 
-function expectHeld(day: LimitDay, servers: readonly ModelServer[], limit = LIMIT): void {
+function expectRespected(day: LimitDay, servers: readonly ModelServer[], limit = LIMIT): void {
   for (const server of servers) {
     expect(day.counted(server) <= allowed(limit)).toEqual(true);
   }
   expect(day.world.checker.violations).toEqual([]);
 }
 
-/** Requests a second at all servers since a moment. */
+/** Returns the requests per second at all servers since a time. */
 function rateSince(day: LimitDay, servers: readonly ModelServer[], from: number): number {
   const sends = servers.reduce((sum, server) => sum + day.sendsTo(server, from).length, 0);
   return (sends * 1_000) / (day.now - from);
@@ -34,30 +34,30 @@
   return day.world.leader() as Daemon;
 }
 
-describe('limits under trouble', () => {
-  it('hold through the loss of the leader, and are used again by the next one', () => {
-    const { day, servers } = limited();
+describe('rate limits during failures', () => {
+  it('are respected after the loss of the leader, and used again under the next one', () => {
+    const { day, servers } = startLimited();
     leaderOf(day).alive = false;
     day.run(6_000);
     const from = day.now;
     day.run(4_000);
     expect(rateSince(day, servers, from) > 0.8 * LIMIT * servers.length).toEqual(true);
-    expectHeld(day, servers);
+    expectRespected(day, servers);
   });
 
-  it('hold through an outage of the store, and go on being used', () => {
-    const { day, servers } = limited({ servers: 0, plainServers: 6, isPlain: true });
+  it('are respected and used during an outage of the store', () => {
+    const { day, servers } = startLimited({ servers: 0, plainServers: 6, isPlain: true });
     day.world.daemons.forEach((daemon) => (daemon.storeReachable = false));
     const from = day.now;
     day.run(12_000);
     expect(rateSince(day, servers, from) > 0.8 * LIMIT * servers.length).toEqual(true);
     day.world.daemons.forEach((daemon) => (daemon.storeReachable = true));
     day.run(4_000);
-    expectHeld(day, servers);
+    expectRespected(day, servers);
   });
 
-  it('hold where daemons are cut off from the others: they take equal shares, the leader grants the rest', () => {
-    const { day, servers } = limited({ servers: 0, plainServers: 6, isPlain: true });
+  it('are respected when daemons are disconnected: they take equal shares, and the leader grants the rest', () => {
+    const { day, servers } = startLimited({ servers: 0, plainServers: 6, isPlain: true });
     const cut = day.world.daemons.filter((daemon) => daemon !== leaderOf(day)).slice(0, 5);
     cut.forEach((daemon) => (daemon.peersReachable = false));
     const from = day.now;
@@ -65,43 +65,43 @@
     expect(rateSince(day, servers, from) > 0.4 * LIMIT * servers.length).toEqual(true);
     cut.forEach((daemon) => (daemon.peersReachable = true));
     day.run(4_000);
-    expectHeld(day, servers);
+    expectRespected(day, servers);
   });
 
-  it('hold where daemons are started again one after the other', () => {
-    const { day, servers } = limited();
+  it('are respected when daemons are restarted one after the other', () => {
+    const { day, servers } = startLimited();
     for (const daemon of [...day.world.daemons]) {
       daemon.alive = false;
       day.run(300);
       day.world.startDaemon(daemon);
       day.run(700);
     }
-    expectHeld(day, servers);
+    expectRespected(day, servers);
   });
 
-  it('hold where daemons are suspended, and wake with permits in hand', () => {
-    const { day, servers } = limited();
+  it('are respected when daemons are suspended and resume with unused permits', () => {
+    const { day, servers } = startLimited();
     for (const daemon of day.world.daemons.slice(0, 6)) {
       day.world.suspend(daemon, 1_500);
       day.run(400);
     }
     day.run(4_000);
-    expectHeld(day, servers);
+    expectRespected(day, servers);
   });
 
-  it('hold where the number of daemons doubles', () => {
-    const { day, servers } = limited({ daemons: 20 });
+  it('are respected when the number of daemons doubles', () => {
+    const { day, servers } = startLimited({ daemons: 20 });
     const late = day.world.daemons.filter((daemon) => daemon !== leaderOf(day)).slice(0, 10);
     late.forEach((daemon) => (daemon.alive = false));
     day.run(12_000);
     late.forEach((daemon) => day.world.startDaemon(daemon));
     day.run(6_000);
-    expectHeld(day, servers);
+    expectRespected(day, servers);
   });
 
-  it('change within a second, end and come back, and hold each time', () => {
+  it('are respected when they change within a second, end and begin again', () => {
     for (let seed = 1; seed <= 4; seed += 1) {
-      const { day, servers } = limited({ seed });
+      const { day, servers } = startLimited({ seed });
       const random = new SeededRandom(seed);
       const choices = [0, 0.5, 1.25, 2, LIMIT];
       for (let step = 0; step < 30; step += 1) {
@@ -109,7 +109,7 @@
         day.limit(server as ModelServer, choices[Math.floor(random.fraction() * choices.length)] as number);
         day.run(100 + random.fraction() * 700);
       }
-      expectHeld(day, servers);
+      expectRespected(day, servers);
       servers.forEach((server) => day.limit(server, null));
       day.run(8_000);
       const from = day.now;
@@ -118,12 +118,12 @@
     }
   });
 
-  it('of zero let a trial through now and then, by which the end is heard', () => {
+  it('of zero allow occasional trial requests, whose responses show the end of the limit', () => {
     const day = new LimitDay({ ...DAY, servers: 0, plainServers: 3, isPlain: true, demand: 40 });
     const { servers } = day.world;
     servers.forEach((server) => day.limit(server, 0));
     day.run(10_000);
-    expectHeld(day, servers, 0);
+    expectRespected(day, servers, 0);
     servers.forEach((server) => day.limit(server, null));
     day.run(6_000);
     const from = day.now;
@@ -131,7 +131,7 @@
     expect(day.served(from) > 0.95).toEqual(true);
   });
 
-  it('are found to have ended at servers that nobody sends to', () => {
+  it('are found to have ended at servers that receive no requests', () => {
     const day = new LimitDay({ ...DAY, servers: 0, plainServers: 4, isPlain: true, demand: 20 });
     const [server] = day.world.servers as [ModelServer];
     day.limit(server, 1);
@@ -145,21 +145,21 @@
     expect(isKnown()).toEqual(false);
   });
 
-  it('end for a server that starts again under its name', () => {
-    const { day } = limited();
+  it('do not apply to a new incarnation of a server with the same name', () => {
+    const { day } = startLimited();
     const [server] = day.world.servers as [ModelServer];
     const daemon = day.world.daemons[3] as Daemon;
     expect(daemon.state.limits.of(server.id)).toEqual(LIMIT);
     expect(daemon.state.limits.of(`${server.id}#7`)).toEqual(null);
   });
 
-  it('are held by a daemon that knows no other one, from its first answer on', () => {
+  it('are respected by a daemon that knows no other daemon, from its first response on', () => {
     const day = new LimitDay({ ...DAY, daemons: 1, servers: 0, plainServers: 1, isPlain: true, demand: 30 });
     const [server] = day.world.servers as [ModelServer];
     day.world.daemons.forEach((daemon) => (daemon.storeReachable = false));
     day.limit(server, LIMIT);
     day.run(10_000);
     expect(day.sendsTo(server, day.now - 8_000).length <= LIMIT * 8 + 2).toEqual(true);
-    expectHeld(day, [server]);
+    expectRespected(day, [server]);
   });
 });
--- a/test/router/limits/test-limit-world.ts
+++ b/test/router/limits/test-limit-world.ts
@@ -1,23 +1,23 @@
 /*
- * A server in need names in its answers how many requests a second it takes from all daemons together. Two owners of keys that named 3 and 3.5 a
- * second went on getting ten: nothing read the limit, so that daemons which had just passed such answers on sent what came, 38 requests in
- * 4 s where 23 were allowed. The servers rejected none of it, and no line of the logs told of anything.
+ * An overloaded server announces in its responses how many requests per second it accepts from all daemons together. Guards against daemons
+ * that don't read the limit: two key owners that announced 3 and 3.5 requests per second still received ten. Daemons that had just forwarded
+ * such responses sent every request that arrived, 38 in 4 s where 23 were allowed. The servers rejected none of them, and nothing was logged.
  */
 import { expect } from 'earl';
 import { describe, it } from 'node:test';
 import { allowed, LimitDay } from '../support/limit-day.js';
 import type { ModelServer } from '../support/model-server.js';
 
-const LIMITED_FOR = 10_000;
+const LIMITED_TIME = 10_000;
 
-describe('owners of keys that name a limit', () => {
-  it('get no more from the daemons that were told', () => {
+describe('key owners that announce a rate limit', () => {
+  it('receive no more than the limit from daemons that know it', () => {
     for (let seed = 1; seed <= 3; seed += 1) {
       const day = new LimitDay({ seed, daemons: 11, servers: 14, demand: 150 });
       const [first, second] = day.world.servers as [ModelServer, ModelServer];
       day.limit(first, 3);
       day.limit(second, 3.5);
-      day.run(LIMITED_FOR);
+      day.run(LIMITED_TIME);
       expect(day.counted(first) <= allowed(3)).toEqual(true);
       expect(day.counted(second) <= allowed(3.5)).toEqual(true);
       expect(day.world.checker.violations).toEqual([]);
@@ -25,13 +25,13 @@
   });
 });
 
-describe('servers that share their work and name a limit', () => {
-  it('get no more either', () => {
+describe('servers without keys that announce a rate limit', () => {
+  it('receive no more than the limit from daemons that know it', () => {
     for (let seed = 1; seed <= 3; seed += 1) {
       const day = new LimitDay({ seed, daemons: 11, servers: 3, plainServers: 6, demand: 90, isPlain: true });
       const limited = day.world.servers.slice(3, 5) as [ModelServer, ModelServer];
       limited.forEach((server) => day.limit(server, 3));
-      day.run(LIMITED_FOR);
+      day.run(LIMITED_TIME);
       limited.forEach((server) => expect(day.counted(server) <= allowed(3)).toEqual(true));
     }
   });
--- a/test/router/limits/test-permit-buckets.ts
+++ b/test/router/limits/test-permit-buckets.ts
@@ -9,7 +9,7 @@
   return { kind: 'permitAsk', server: 's1', daemon: 'd1', requestId, priority, wait, path: [7, requestId] };
 }
 
-/** Buckets whose saved tokens are used up. */
+/** Returns buckets whose accumulated tokens are used up. */
 function emptyBuckets(): PermitBuckets {
   const buckets = new PermitBuckets();
   buckets.ask(ask(1, 0), RATE, 0);
@@ -23,14 +23,14 @@
 }
 
 describe('the token buckets of permits', () => {
-  it('saves up two places at most while nobody asks', () => {
+  it('accumulate at most two tokens while idle', () => {
     const buckets = new PermitBuckets();
     expect(granted(buckets.ask(ask(1, 0), RATE, 0))).toEqual([]);
     const answers = [2, 3, 4].flatMap((id) => buckets.ask(ask(id, 0), RATE, 60_000));
     expect(granted(answers)).toEqual([2, 3]);
   });
 
-  it('answers at once that there is no place in time, and when there may be one', () => {
+  it('deny at once a request that cannot be granted in time, and say when a permit may be available', () => {
     const buckets = emptyBuckets();
     const [answer] = buckets.ask(ask(4, 300), RATE, 1_000);
     expect(answer?.granted).toEqual(false);
@@ -38,14 +38,14 @@
     expect(answer?.path).toEqual([7, 4]);
   });
 
-  it('lets an ask wait whose place comes in time', () => {
+  it('queue a request that can be granted in time', () => {
     const buckets = emptyBuckets();
     expect(buckets.ask(ask(4, 600), RATE, 1_000)).toEqual([]);
     expect(buckets.tick(() => RATE, 1_400)).toEqual([]);
     expect(granted(buckets.tick(() => RATE, 1_500))).toEqual([4]);
   });
 
-  it('gives places to more urgent requests first, and tells those that lose theirs at once', () => {
+  it('grant more urgent requests first, and deny at once those that can then no longer be granted in time', () => {
     const buckets = emptyBuckets();
     buckets.ask(ask(4, 600, 1), RATE, 1_000);
     const answers = buckets.ask(ask(5, 600, 0), RATE, 1_010);
@@ -53,7 +53,7 @@
     expect(granted(buckets.tick(() => RATE, 1_500))).toEqual([5]);
   });
 
-  it('gives places to those first that can wait for a shorter time', () => {
+  it('grant requests that expire earlier first', () => {
     const buckets = emptyBuckets();
     buckets.ask(ask(4, 1_100), RATE, 1_000);
     buckets.ask(ask(5, 600), RATE, 1_000);
@@ -61,21 +61,21 @@
     expect(granted(buckets.tick(() => RATE, 2_000))).toEqual([4]);
   });
 
-  it('answers an ask that has waited in vain', () => {
+  it('deny a queued request that expires', () => {
     const buckets = emptyBuckets();
     buckets.ask(ask(4, 600), RATE, 1_000);
     const [answer] = buckets.tick(() => RATE / 100, 1_700);
     expect([answer?.requestId, answer?.granted]).toEqual([4, false]);
   });
 
-  it('grants what is asked of a server that names no limit any more', () => {
+  it('grant all requests for a server that no longer announces a limit', () => {
     const buckets = emptyBuckets();
     buckets.ask(ask(4, 600), RATE, 1_000);
     expect(granted(buckets.tick(() => null, 1_010))).toEqual([4]);
     expect(granted(buckets.ask(ask(5, 0), null, 1_020))).toEqual([5]);
   });
 
-  it('knows how much each daemon was given lately', () => {
+  it('report the rate at which each daemon was recently granted permits', () => {
     const buckets = new PermitBuckets();
     buckets.ask(ask(1, 0), RATE, 0);
     for (let at = 500; at <= 4_500; at += 500) {
--- a/test/router/limits/test-permits.ts
+++ b/test/router/limits/test-permits.ts
@@ -6,18 +6,18 @@
 const GRANTED: LimitShare = { rate: 3, daemons: 11, hasGrants: true };
 const EQUAL_SHARE: LimitShare = { ...GRANTED, hasGrants: false };
 
-function seeker(holdUntil: number, priority = 1): { id: number; priority: number; holdUntil: number } {
+function waitingRequest(holdUntil: number, priority = 1): { id: number; priority: number; holdUntil: number } {
   return { id: 1, priority, holdUntil };
 }
 
 describe('the permits of a daemon', () => {
-  it('are awaited by a request that can wait, and by no other one', () => {
+  it('are awaited only by a request that can wait long enough', () => {
     const permits = new Permits(0);
-    expect(permits.placeFor(seeker(1_100), GRANTED, 1_000)).toEqual('awaited');
-    expect(permits.placeFor(seeker(1_010), GRANTED, 1_000)).toEqual('none');
+    expect(permits.placeFor(waitingRequest(1_100), GRANTED, 1_000)).toEqual('awaited');
+    expect(permits.placeFor(waitingRequest(1_010), GRANTED, 1_000)).toEqual('none');
   });
 
-  it('are each for one request, and for a short time', () => {
+  it('are valid for one request each and for a short time', () => {
     const permits = new Permits(0);
     permits.noteGranted(1, 1_000);
     permits.noteGranted(2, 1_000);
@@ -26,25 +26,25 @@
     expect(permits.count(1_400)).toEqual(0);
   });
 
-  it('come back from a request that never left', () => {
+  it('are returned by a request that was not sent', () => {
     const permits = new Permits(0);
     permits.noteGranted(1, 1_000);
     permits.use(1_010);
     permits.giveBack(1_500);
-    expect(permits.placeFor(seeker(1_500), GRANTED, 1_550)).toEqual('free');
+    expect(permits.placeFor(waitingRequest(1_500), GRANTED, 1_550)).toEqual('free');
   });
 
-  it('are not asked for before the time that was told, but by more urgent requests', () => {
+  it('are not requested before the time given in a denial, except by more urgent requests', () => {
     const permits = new Permits(0);
     permits.noteDenied(1, 1, 400, 1_000);
-    expect(permits.placeFor(seeker(1_300), GRANTED, 1_100)).toEqual('none');
-    expect(permits.placeFor(seeker(1_300, 2), GRANTED, 1_100)).toEqual('none');
-    expect(permits.placeFor(seeker(1_300, 0), GRANTED, 1_100)).toEqual('awaited');
-    expect(permits.placeFor(seeker(1_500), GRANTED, 1_100)).toEqual('awaited');
+    expect(permits.placeFor(waitingRequest(1_300), GRANTED, 1_100)).toEqual('none');
+    expect(permits.placeFor(waitingRequest(1_300, 2), GRANTED, 1_100)).toEqual('none');
+    expect(permits.placeFor(waitingRequest(1_300, 0), GRANTED, 1_100)).toEqual('awaited');
+    expect(permits.placeFor(waitingRequest(1_500), GRANTED, 1_100)).toEqual('awaited');
     expect(permits.untilPlace(1, GRANTED, 1_100)).toEqual(300);
   });
 
-  it('are missed when an answer is overdue', () => {
+  it('are detected as overdue when no answer arrives in time', () => {
     const permits = new Permits(0);
     permits.noteAsked(1, 100, 1_000);
     expect(permits.isAsked(1)).toEqual(true);
@@ -53,20 +53,20 @@
     expect(permits.isAsked(1)).toEqual(false);
   });
 
-  it('are replaced by turns of an equal share where nobody grants them', () => {
+  it('are replaced by the send windows of an equal share if no leader grants them', () => {
     const permits = new Permits(0);
     let sent = 0;
     for (let now = 0; now < 52_300; now += 20) {
-      if (permits.placeFor(seeker(now), EQUAL_SHARE, now) === 'free') {
+      if (permits.placeFor(waitingRequest(now), EQUAL_SHARE, now) === 'free') {
         permits.use(now);
         sent += 1;
       }
     }
-    // An eleventh of 0.7 of 3 a second, for 52 s.
+    // One eleventh of 0.7 of 3 requests per second, for 52 s.
     expect(sent).toEqual(10);
   });
 
-  it('end with a suspension', () => {
+  it('are discarded after a suspension', () => {
     const permits = new Permits(0);
     permits.noteGranted(1, 1_000);
     permits.clear();
--- a/test/router/limits/test-server-limits.ts
+++ b/test/router/limits/test-server-limits.ts
@@ -4,8 +4,8 @@
 
 const SERVER = 's1';
 
-describe('what a daemon knows of limits', () => {
-  it('begins with the first answer that names one, and ends with the first to a later request that names none', () => {
+describe('the rate limit of a server, as a daemon knows it', () => {
+  it('begins with the first response that announces it, and ends with the first response to a later request that does not', () => {
     const limits = new ServerLimits();
     expect(limits.read(SERVER, 3, 900, 1_000)).toEqual({ server: SERVER, former: null, rate: 3 });
     expect(limits.of(SERVER)).toEqual(3);
@@ -13,7 +13,7 @@
     expect(limits.of(SERVER)).toEqual(null);
   });
 
-  it('does not end by an answer to a request that was sent before the limit was last named', () => {
+  it('does not end with a response to a request sent before the limit was last confirmed', () => {
     const limits = new ServerLimits();
     limits.read(SERVER, 3, 900, 1_000);
     limits.read(SERVER, 3, 1_050, 1_100);
@@ -21,7 +21,7 @@
     expect(limits.of(SERVER)).toEqual(3);
   });
 
-  it('falls at once, and rises only by the answer to a later request', () => {
+  it('decreases at once, and increases only with the response to a later request', () => {
     const limits = new ServerLimits();
     limits.read(SERVER, 5, 900, 1_000);
     expect(limits.read(SERVER, 3, 950, 1_010)?.rate).toEqual(3);
@@ -29,7 +29,7 @@
     expect(limits.read(SERVER, 5, 1_015, 1_030)?.rate).toEqual(5);
   });
 
-  it('may go up, down, end and come back within a second', () => {
+  it('can increase, decrease, end and begin again within a second', () => {
     const limits = new ServerLimits();
     const rates = [3, 6, 2, null, 4, null, 0].map((rate, index) => {
       const at = 1_000 + index * 100;
@@ -39,20 +39,20 @@
     expect(limits.of(SERVER)).toEqual(0);
   });
 
-  it('takes the later of what two daemons saw, in either order', () => {
+  it('follows the more recent statement of two daemons, whichever arrives first', () => {
     const named = { server: SERVER, limit: { rate: 3 }, age: 100 };
     const ended = { server: SERVER, limit: null, age: 50 };
-    for (const words of [
+    for (const statements of [
       [named, ended],
       [ended, named],
     ]) {
       const limits = new ServerLimits();
-      words.forEach((word) => limits.hear(word, 2_000));
+      statements.forEach((statement) => limits.hear(statement, 2_000));
       expect(limits.of(SERVER)).toEqual(null);
     }
   });
 
-  it('calls a statement behind that says something else and is older', () => {
+  it('makes a statement outdated that is older and differs', () => {
     const limits = new ServerLimits();
     limits.read(SERVER, 3, 900, 1_000);
     expect(limits.isBehind({ server: SERVER, limit: null, age: 100 }, 1_050)).toEqual(true);
@@ -60,7 +60,7 @@
     expect(limits.isBehind({ server: SERVER, limit: { rate: 3 }, age: 100 }, 1_050)).toEqual(false);
   });
 
-  it('forgets a limit that nobody has heard of for a minute, and not before', () => {
+  it('is removed after a minute without confirmation, and not before', () => {
     const limits = new ServerLimits();
     limits.read(SERVER, 3, 900, 1_000);
     expect(limits.expire(60_000)).toEqual([]);
@@ -69,20 +69,20 @@
     expect(limits.of(SERVER)).toEqual(null);
   });
 
-  it('is another one for another life of the server', () => {
+  it('does not apply to another incarnation of the server', () => {
     const limits = new ServerLimits();
     limits.read('s1#1', 3, 900, 1_000);
     expect(limits.of('s1#2')).toEqual(null);
   });
 
-  it('tells since when a limit has been in force, whatever it was in between', () => {
+  it('keeps the time at which it began when its value changes', () => {
     const limits = new ServerLimits();
     limits.read(SERVER, 3, 900, 1_000);
     limits.read(SERVER, 2, 1_900, 2_000);
     expect(limits.inForce.get(SERVER)?.since).toEqual(1_000);
   });
 
-  it('is bounded', () => {
+  it('is kept for a bounded number of servers', () => {
     const limits = new ServerLimits();
     for (let index = 0; index < 2_000; index += 1) {
       limits.read(`s${index}`, 1, 900, 1_000);
--- a/test/router/limits/test-unanswered-permits.ts
+++ b/test/router/limits/test-unanswered-permits.ts
@@ -1,6 +1,7 @@
 /*
- * A request that several servers could run waited for a permit for the one with a limit, since it seemed quickest. When the daemon that grants permits
- * was gone, none came, and the request waited for 63 of the 88 ms that it may be held, with the other servers open all the time.
+ * Guards against requests that wait for a permit although another server would take them. Of several servers the one with a rate limit seemed
+ * fastest, so the request waited for its permit. The leader that grants permits was lost, no permit arrived, and the request waited for
+ * 63 of the 88 ms for which it may be held, while the other servers were available.
  */
 import { expect } from 'earl';
 import { describe, it } from 'node:test';
@@ -8,12 +9,12 @@
 
 const PARENT = '10.0.0.8:1';
 const TICK = 20;
-/** An answer of the leader takes a few milliseconds. */
-const SOON = 2 * TICK;
+/** Longer than the few milliseconds that an answer of the leader takes. */
+const ANSWER_TIME = 2 * TICK;
 const BUSY = { running: 1, waiting: 0, slots: 2, slowdown: 2 };
 
-/** The leader, which is the parent, is there. */
-function hearLeader(daemon: SingleDaemon): void {
+/** Delivers a heartbeat of the leader, which is the parent. */
+function receiveLeaderHeartbeat(daemon: SingleDaemon): void {
   const message = {
     kind: 'heartbeat',
     term: 1,
@@ -33,10 +34,10 @@
   daemon.state.tree.parent = PARENT;
 }
 
-/** A daemon with a parent; one server of three names a limit and has nothing else to do. */
+/** Returns a daemon with a parent and three servers, of which one announces a limit and is idle and the others are busy. */
 function startLimited(): SingleDaemon {
   const daemon = new SingleDaemon();
-  hearLeader(daemon);
+  receiveLeaderHeartbeat(daemon);
   for (const id of ['s2', 's3']) {
     daemon.state.servers.get(id)?.load.report(BUSY, daemon.now);
   }
@@ -46,27 +47,27 @@
   return daemon;
 }
 
-/** Time passes; the parent is there and doesn't answer. */
+/** Lets time pass while the parent sends heartbeats but answers no permit requests. */
 function wait(daemon: SingleDaemon, length: number): void {
   const end = daemon.now + length;
   while (daemon.now < end) {
-    hearLeader(daemon);
+    receiveLeaderHeartbeat(daemon);
     daemon.ticksUntil(daemon.now + TICK);
   }
 }
 
-describe('a permit that does not come', () => {
-  it('is not waited for while another server is open', () => {
+describe('a permit that does not arrive', () => {
+  it('delays no request while another server is available', () => {
     const daemon = startLimited();
     daemon.arrive(1, '/read/a');
     expect(daemon.only('forward')).toEqual([]);
     expect(daemon.only('sendToParent').at(-1)?.message.kind).toEqual('permitAsk');
-    wait(daemon, SOON);
+    wait(daemon, ANSWER_TIME);
     expect(daemon.only('forward').map(({ server }) => server === 's1')).toEqual([false]);
     expect(daemon.only('answer')).toEqual([]);
   });
 
-  it('is waited for where every server names a limit, and asked for once', () => {
+  it('is awaited if every server announces a limit, and requested only once', () => {
     const daemon = startLimited();
     for (const server of ['s2', 's3']) {
       daemon.event({ kind: 'serverLimitRead', server, reading: 3, sentAt: daemon.now - 1 });
@@ -79,7 +80,7 @@
     expect(daemon.only('answer')).toEqual([]);
   });
 
-  it('sends its request at once when it comes', () => {
+  it('lets its request be sent at once when it arrives after all', () => {
     const daemon = startLimited();
     daemon.arrive(1, '/read/a');
     const message = {
--- a/test/router/tree/test-relay-choice.ts
+++ b/test/router/tree/test-relay-choice.ts
@@ -19,7 +19,7 @@
 const CHILDREN = Array.from({ length: 12 }, (_, index) => child(index, `z${index % 4}`, 1 + (index % 5)));
 
 describe('the choice of a relay', () => {
-  it('leaves the first daemons, and two of each zone, with the leader', () => {
+  it('keeps the first daemons, and two of each zone, at the leader', () => {
     expect(chooseRelay(CHILDREN.slice(1), 'z0', '')).toEqual(undefined);
     expect(chooseRelay(CHILDREN, 'z9', '')).toEqual(undefined);
   });
@@ -28,11 +28,11 @@
     expect(chooseRelay(CHILDREN, 'z1', '')?.daemon).toEqual('d5');
   });
 
-  it('passes by a relay that the daemon could not reach', () => {
+  it('skips a relay that the daemon could not reach', () => {
     expect(chooseRelay(CHILDREN, 'z1', '10.0.0.5:70')?.daemon).toEqual('d1');
   });
 
-  it('goes to another zone, then to the leader, when relays are full', () => {
+  it('falls back to a relay in another zone, then to the leader, when relays are at capacity', () => {
     const full = CHILDREN.map((known) => (known.zone === 'z1' ? { ...known, daemons: 24 } : known));
     expect(chooseRelay(full, 'z1', '')?.daemon).toEqual('d0');
     const allFull = CHILDREN.map((known) => ({ ...known, daemons: 24 }));
--- a/test/router/tree/test-tree-world.ts
+++ b/test/router/tree/test-tree-world.ts
@@ -4,7 +4,7 @@
 
 const DAEMONS = 60;
 
-function settledWorld(seed: number): RouterWorld {
+function createSettledWorld(seed: number): RouterWorld {
   const world = new RouterWorld(seed, DAEMONS, 8);
   world.clock.runUntil(8_000);
   return world;
@@ -13,22 +13,22 @@
 function leaderOf(world: RouterWorld): Daemon {
   const leader = world.leader();
   if (leader === undefined) {
-    throw new Error('nobody leads');
+    throw new Error('no daemon is the leader');
   }
   return leader;
 }
 
-/** Daemons that are alive and have not heard of the leader, or do not know the same as it. */
+/** Returns the running daemons that have no recent heartbeat of the leader or differ from it in servers, configuration or term. */
 function daemonsBehind(world: RouterWorld): string[] {
   const leader = leaderOf(world);
   return world.daemons
     .filter(({ alive, state }) => {
-      const hears = state === leader.state || world.clock.now - state.election.lastHeartbeatAt < 1_500;
-      const knows =
+      const hasHeartbeat = state === leader.state || world.clock.now - state.election.lastHeartbeatAt < 1_500;
+      const isUpToDate =
         state.servers.size === leader.state.servers.size &&
         state.configuration?.version === leader.state.configuration?.version &&
         state.view.term === leader.state.view.term;
-      return alive && !(hears && knows);
+      return alive && !(hasHeartbeat && isUpToDate);
     })
     .map(({ name }) => name);
 }
@@ -38,24 +38,24 @@
   return world.daemons.filter((daemon) => daemon !== leader && daemon.state.tree.children.size > 0);
 }
 
-describe('the tree of daemons', () => {
-  it('keeps the leader to few children, and everybody hears of everything', () => {
-    const world = settledWorld(1);
+describe('the propagation tree', () => {
+  it('gives the leader few children, and brings all daemons up to date', () => {
+    const world = createSettledWorld(1);
     expect(leaderOf(world).state.tree.children.size <= 16).toEqual(true);
     expect(relaysOf(world).length > 3).toEqual(true);
     expect(daemonsBehind(world)).toEqual([]);
     expect(leaderOf(world).state.daemons).toEqual(DAEMONS);
   });
 
-  it('needs a few daemons that follow the store, however many there are', () => {
-    const world = settledWorld(2);
+  it('needs three daemons that watch the store, for any number of daemons', () => {
+    const world = createSettledWorld(2);
     const followers = world.daemons.filter(({ state }) => state.followsStore);
     expect(followers.length).toEqual(3);
     expect(world.serverEntries.lists <= 6).toEqual(true);
   });
 
-  it('tells everybody of a server that leaves within half a second', () => {
-    const world = settledWorld(3);
+  it('propagates to all daemons within half a second that a server is draining', () => {
+    const world = createSettledWorld(3);
     const [server] = world.servers;
     world.drain(server?.id ?? '');
     world.clock.runUntil(world.clock.now + 500);
@@ -63,8 +63,8 @@
     expect(draining.every((value) => value === true)).toEqual(true);
   });
 
-  it('brings the daemons below a relay that is lost back to the leader', () => {
-    const world = settledWorld(4);
+  it('reconnects the children of a lost relay to the leader', () => {
+    const world = createSettledWorld(4);
     const [relay] = relaysOf(world);
     if (relay !== undefined) {
       relay.alive = false;
@@ -73,8 +73,8 @@
     expect(daemonsBehind(world)).toEqual([]);
   });
 
-  it('stays whole below its relays when the leader is lost, and few daemons ask the store', () => {
-    const world = settledWorld(5);
+  it('keeps the subtrees of relays together when the leader is lost, with few reads of the store', () => {
+    const world = createSettledWorld(5);
     const former = leaderOf(world);
     const readsBefore = world.store.reads;
     former.alive = false;
@@ -85,10 +85,10 @@
     expect(world.checker.violations).toEqual([]);
   });
 
-  // Found by a played day: the store turned the leader and a third of the others away, and these never found the next one.
-  it('leads daemons that the store turns away, a former leader among them, to the next leader', () => {
+  // Guards against daemons that never find the next leader after the store rejects the former leader and a third of the others.
+  it('brings daemons whose store requests are rejected, a former leader among them, to the next leader', () => {
     for (let seed = 1; seed <= 4; seed += 1) {
-      const world = settledWorld(seed);
+      const world = createSettledWorld(seed);
       const former = leaderOf(world);
       const others = world.daemons.filter((daemon) => daemon !== former);
       [former, ...others.slice(0, DAEMONS / 3)].forEach((daemon) => {
@@ -103,8 +103,8 @@
     }
   });
 
-  it('forms anew after the loss of all daemons', () => {
-    const world = settledWorld(6);
+  it('forms again after all daemons are lost and restarted', () => {
+    const world = createSettledWorld(6);
     world.daemons.forEach((daemon) => {
       daemon.alive = false;
     });
--- a/test/router/tree/test-watchers.ts
+++ b/test/router/tree/test-watchers.ts
@@ -24,15 +24,15 @@
   return chooseWatchers(new RouterContext(leaderWith(children), NOW));
 }
 
-describe('the choice of watchers', () => {
-  it('takes those that have been there longest, of different zones', () => {
+describe('the choice of store watchers', () => {
+  it('takes the children connected longest, from different zones', () => {
     const children = [child('a', 'z1', NOW), child('b', 'z1', NOW), child('c', 'z2', NOW)];
     expect(watchers(children)).toEqual(['a', 'c']);
   });
 
-  // A machine without power, or a connection that went silent, leaves a child that nothing ends: the leader's two watchers
-  // were daemons that could no longer tell it anything.
-  it('passes by children that no longer report', () => {
+  // If a child's machine loses power or its connection becomes unresponsive, nothing closes the connection. Guards against a leader
+  // whose two watchers are such children and can report nothing to it.
+  it('skips children that no longer report', () => {
     const children = [child('a', 'z1', NOW - 10_000), child('b', 'z2', NOW - 2_500), child('c', 'z2', NOW)];
     expect(watchers(children)).toEqual(['c']);
   });
