--- a/src/router/limits/limit-overview.ts
+++ b/src/router/limits/limit-overview.ts
@@ -21,7 +21,7 @@
   readonly confirmedAge: Milliseconds;
   /** How this daemon gets its part of the limit: by permits from the leader, or as an equal share. */
   readonly places: 'granted by the leader' | 'equal share';
-  /** Permit grantRates of the daemons in the last 5 to 10 s, or null if this daemon isn't the leader, which alone knows them. */
+  /** Permit rates of the daemons in the last 5 to 10 s, or null if this daemon isn't the leader, which alone knows them. */
   readonly shares: readonly DaemonShare[] | null;
 }
 
--- a/src/router/limits/limit-readings.ts
+++ b/src/router/limits/limit-readings.ts
@@ -8,7 +8,7 @@
 /** Maximum number of characters of an unparsable limit that are logged. */
 const LONGEST_QUOTE = 60;
 
-/** Handles the limit read from a response, or that the response has none. */
+/** Handles a response that announces a limit, or that announces none (`reading` is null). */
 export function receiveServerLimit(
   context: RouterContext,
   { server, reading, sentAt }: ServerLimitReadEvent,
--- a/src/router/limits/permit-exchange.ts
+++ b/src/router/limits/permit-exchange.ts
@@ -1,5 +1,5 @@
 /**
- * Requests permits for rate-limitedServer servers from the leader, forwards permit requests and answers along the propagation tree, and grants
+ * Requests permits for rate-limited servers from the leader, forwards permit requests and answers along the propagation tree, and grants
  * permits if this daemon is the leader. A leader grants only the fraction of a limit that corresponds to the daemons that report to it.
  * Thus two leaders at once, or a leader beside disconnected daemons that take equal shares, don't exceed the limit together.
  */
--- a/src/router/limits/server-limits.ts
+++ b/src/router/limits/server-limits.ts
@@ -60,7 +60,7 @@
 export class ServerLimits {
   readonly #limits = new Map<ServerId, ServerLimit>();
 
-  /** Whether no limit of any server is known, which is the usual case. */
+  /** Whether no server has or recently had a limit, which is the usual case. */
   get isEmpty(): boolean {
     return this.#limits.size === 0;
   }
@@ -70,7 +70,7 @@
     return this.#limits.get(server)?.rate ?? null;
   }
 
-  /** Returns the servers that have a limit or recently had one. */
+  /** Returns the servers that have or recently had a limit. */
   servers(): Iterable<ServerId> {
     return this.#limits.keys();
   }
