--- a/src/router/limits/permits.ts
+++ b/src/router/limits/permits.ts
@@ -47,7 +47,8 @@
     if (!share.hasGrants) {
       return this.#sendWindows.allows(equalShareInterval(share), now) ? 'free' : 'none';
     }
-    const isInTime = Math.max(now, this.#nextAvailableAt(request.priority)) + ANSWER_MARGIN <= request.holdUntil;
+    const isInTime =
+      Math.max(now, this.#nextAvailableAt(request.priority)) + ANSWER_MARGIN <= request.holdUntil;
     return isInTime ? 'awaited' : 'none';
   }
 
--- a/src/router/tree/reports.ts
+++ b/src/router/tree/reports.ts
@@ -42,7 +42,7 @@
 }
 
 function toSample([service, requestCounts]: [ServiceName, KeyTally]): KeySample {
-  let entries = [...tally];
+  let entries = [...requestCounts];
   if (entries.length > MOST_KEYS) {
     entries = entries.sort(([, left], [, right]) => right - left).slice(0, MOST_KEYS);
   }
--- a/test/router/limits/test-limit-troubles.ts
+++ b/test/router/limits/test-limit-troubles.ts
@@ -9,8 +9,11 @@
 const DEFAULTS: LimitDayOptions = { seed: 1, daemons: 11, servers: 6, demand: 90 };
 const LIMIT = 3;
 
-function startLimited(options: Partial<LimitDayOptions> = {}): { day: LimitDay; servers: readonly ModelServer[] } {
-  const day = new LimitDay({ ...DAY, ...options });
+function startLimited(options: Partial<LimitDayOptions> = {}): {
+  day: LimitDay;
+  servers: readonly ModelServer[];
+} {
+  const day = new LimitDay({ ...DEFAULTS, ...options });
   const { servers } = day.world;
   servers.forEach((server) => day.limit(server, LIMIT));
   day.run(3_000);
@@ -119,7 +122,7 @@
   });
 
   it('of zero allow occasional trial requests, whose responses show the end of the limit', () => {
-    const day = new LimitDay({ ...DAY, servers: 0, plainServers: 3, isPlain: true, demand: 40 });
+    const day = new LimitDay({ ...DEFAULTS, servers: 0, plainServers: 3, isPlain: true, demand: 40 });
     const { servers } = day.world;
     servers.forEach((server) => day.limit(server, 0));
     day.run(10_000);
@@ -132,7 +135,7 @@
   });
 
   it('are found to have ended at servers that receive no requests', () => {
-    const day = new LimitDay({ ...DAY, servers: 0, plainServers: 4, isPlain: true, demand: 20 });
+    const day = new LimitDay({ ...DEFAULTS, servers: 0, plainServers: 4, isPlain: true, demand: 20 });
     const [server] = day.world.servers as [ModelServer];
     day.limit(server, 1);
     day.run(2_000);
@@ -154,7 +157,14 @@
   });
 
   it('are respected by a daemon that knows no other daemon, from its first response on', () => {
-    const day = new LimitDay({ ...DAY, daemons: 1, servers: 0, plainServers: 1, isPlain: true, demand: 30 });
+    const day = new LimitDay({
+      ...DEFAULTS,
+      daemons: 1,
+      servers: 0,
+      plainServers: 1,
+      isPlain: true,
+      demand: 30,
+    });
     const [server] = day.world.servers as [ModelServer];
     day.world.daemons.forEach((daemon) => (daemon.storeReachable = false));
     day.limit(server, LIMIT);
--- a/test/router/limits/test-limited-owners.ts
+++ b/test/router/limits/test-limited-owners.ts
@@ -26,7 +26,7 @@
 describe('keys of an owner that announces a rate limit', () => {
   it('move to owners that have capacity', () => {
     for (let seed = 1; seed <= 3; seed += 1) {
-      const day = new LimitDay({ ...DAY, seed });
+      const day = new LimitDay({ ...DEFAULTS, seed });
       const [first, second] = day.world.servers as [ModelServer, ModelServer];
       day.limit(first, 3);
       day.limit(second, 3.5);
@@ -40,7 +40,7 @@
   });
 
   it('all move away if the limit is zero', () => {
-    const day = new LimitDay({ ...DAY, seed: 4 });
+    const day = new LimitDay({ ...DEFAULTS, seed: 4 });
     const [server] = day.world.servers as [ModelServer];
     day.limit(server, 0);
     day.run(MOVE_TIME);
@@ -63,7 +63,7 @@
   });
 
   it('do not return each time that the limit ends for a second', () => {
-    const day = new LimitDay({ ...DAY, seed: 6 });
+    const day = new LimitDay({ ...DEFAULTS, seed: 6 });
     const [server] = day.world.servers as [ModelServer];
     day.limit(server, 3);
     day.run(MOVE_TIME + 1_000);
--- a/test/router/limits/test-permits.ts
+++ b/test/router/limits/test-permits.ts
@@ -6,7 +6,10 @@
 const GRANTED: LimitShare = { rate: 3, daemons: 11, hasGrants: true };
 const EQUAL_SHARE: LimitShare = { ...GRANTED, hasGrants: false };
 
-function waitingRequest(holdUntil: number, priority = 1): { id: number; priority: number; holdUntil: number } {
+function waitingRequest(
+  holdUntil: number,
+  priority = 1,
+): { id: number; priority: number; holdUntil: number } {
   return { id: 1, priority, holdUntil };
 }
 
