--- a/src/router/limits/limit-log.ts
+++ b/src/router/limits/limit-log.ts
@@ -1,17 +1,17 @@
 /** Log events about servers' rate limits: one for each change. */
 import type { Milliseconds } from '../model/identifiers.js';
-import type { NewsSource } from '../peers/messages.js';
+import type { UpdateSource } from '../peers/messages.js';
 import type { RouterContext } from '../router-context.js';
 import type { LimitChange } from './server-limits.js';
 
 /** Source of a limit change: a server's response to this daemon, another daemon, or the expiry of an unconfirmed limit. */
-export type LimitSource = NewsSource | 'answer' | 'unconfirmed';
+export type LimitChangeSource = UpdateSource | 'answer' | 'unconfirmed';
 
 /** Logs that a server's limit begins, changes or ends. */
 export function logLimitChange(
   context: RouterContext,
   { server, former, rate }: LimitChange,
-  source: LimitSource,
+  source: LimitChangeSource,
   age: Milliseconds,
 ): void {
   const service = context.state.servers.get(server)?.server.service ?? null;
--- a/src/router/limits/limit-overview.ts
+++ b/src/router/limits/limit-overview.ts
@@ -5,7 +5,7 @@
 import { limitShareOf } from './permit-exchange.js';
 
 /** Rate at which the leader has recently granted permits to a daemon. */
-export interface DaemonShare {
+export interface DaemonPermitRate {
   readonly daemon: DaemonName;
   readonly permitsPerSecond: RequestsPerSecond;
 }
@@ -22,7 +22,7 @@
   /** How this daemon gets its part of the limit: by permits from the leader, or as an equal share. */
   readonly places: 'granted by the leader' | 'equal share';
   /** Permit rates of the daemons in the last 5 to 10 s, or null if this daemon isn't the leader, which alone knows them. */
-  readonly shares: readonly DaemonShare[] | null;
+  readonly shares: readonly DaemonPermitRate[] | null;
 }
 
 /** Describes every limit in force. */
@@ -33,16 +33,16 @@
     limit: rate ?? 0,
     age: Math.round(now - since),
     confirmedAge: Math.round(now - at),
-    places: limitShareOf(state, server)?.hasGrants === true ? 'granted by the leader' : 'equal share',
-    shares: sharesOf(state, server, now),
+    places: limitShareOf(state, server)?.isLeaderGranting === true ? 'granted by the leader' : 'equal share',
+    shares: permitRatesOf(state, server, now),
   }));
 }
 
-function sharesOf(
+function permitRatesOf(
   { leadership }: RouterState,
   server: ServerId,
   now: Milliseconds,
-): readonly DaemonShare[] | null {
+): readonly DaemonPermitRate[] | null {
   if (leadership === null) {
     return null;
   }
--- a/src/router/limits/limit-probes.ts
+++ b/src/router/limits/limit-probes.ts
@@ -9,21 +9,21 @@
 import type { RouterContext } from '../router-context.js';
 
 /** Time without a confirmed limit, a permit or a probe after which a limited server is probed. Each probe adds a request to its load. */
-const QUIET: Milliseconds = 2_000;
+const IDLE_TIME_BEFORE_PROBE: Milliseconds = 2_000;
 
 /** Probes limited servers to which no daemon sends requests. */
 export function tickLimitProbes(context: RouterContext, leadership: Leadership): void {
   const { state, now } = context;
   for (const [server, { at }] of state.limits.inForce) {
     const known = state.servers.get(server);
-    const lastActivityAt = Math.max(at, lastSentAt(leadership, server));
-    if (known !== undefined && now - lastActivityAt >= QUIET && known.rest.left(now) === 0) {
+    const lastActivityAt = Math.max(at, lastPermitOrProbeAt(leadership, server));
+    if (known !== undefined && now - lastActivityAt >= IDLE_TIME_BEFORE_PROBE && known.rest.left(now) === 0) {
       leadership.limitProbedAt.set(server, now);
       probeServer(context, known.server, PROBE_PATIENCE);
     }
   }
 }
 
-function lastSentAt({ permitBuckets, limitProbedAt }: Leadership, server: ServerId): Milliseconds {
+function lastPermitOrProbeAt({ permitBuckets, limitProbedAt }: Leadership, server: ServerId): Milliseconds {
   return Math.max(permitBuckets.lastGrantAt(server), limitProbedAt.get(server) ?? Number.NEGATIVE_INFINITY);
 }
--- a/src/router/limits/limit-readings.ts
+++ b/src/router/limits/limit-readings.ts
@@ -3,10 +3,10 @@
 import type { ServerId } from '../model/identifiers.js';
 import type { UnreadableLimit } from '../model/server-limit.js';
 import type { RouterContext } from '../router-context.js';
-import { tellOfReading } from './limit-news.js';
+import { propagateLimitReading } from './limit-propagation.js';
 
 /** Maximum number of characters of an unparsable limit that are logged. */
-const LONGEST_QUOTE = 60;
+const MAX_LOGGED_CHARACTERS = 60;
 
 /** Handles a response that announces a limit, or that announces none (`reading` is null). */
 export function receiveServerLimit(
@@ -15,25 +15,29 @@
 ): void {
   const { state, now } = context;
   if (reading !== null && typeof reading !== 'number') {
-    noteUnreadable(context, server, reading);
+    reportUnreadableLimit(context, server, reading);
     return;
   }
   state.counters.limits_read += reading === null ? 0 : 1;
-  const change = state.limits.read(server, reading, sentAt, now);
+  const change = state.limits.recordReading(server, reading, sentAt, now);
   if (change !== null || reading !== null) {
-    tellOfReading(context, server, change);
+    propagateLimitReading(context, server, change);
   }
 }
 
 /** Counts an unparsable limit, and logs it once per service. The limit in force doesn't change. */
-function noteUnreadable(context: RouterContext, server: ServerId, { unreadable }: UnreadableLimit): void {
+function reportUnreadableLimit(
+  context: RouterContext,
+  server: ServerId,
+  { unreadable }: UnreadableLimit,
+): void {
   const { counters, profiles, servers } = context.state;
   counters.malformed_limits += 1;
   const service = servers.get(server)?.server.service;
   const profile = service === undefined ? undefined : profiles.get(service);
   if (profile?.loggedUnreadableLimit === false) {
     profile.loggedUnreadableLimit = true;
-    const found = unreadable.slice(0, LONGEST_QUOTE);
+    const found = unreadable.slice(0, MAX_LOGGED_CHARACTERS);
     context.log('malformed_limit', { server, service, found }, 'warn');
   }
 }
--- a/src/router/limits/limit-updates.ts
+++ b/src/router/limits/limit-updates.ts
@@ -2,7 +2,7 @@
 import type { Milliseconds, ServerId } from '../model/identifiers.js';
 
 /** Minimum time between updates about one server: some servers announce a different limit with each response. */
-const TELL_INTERVAL: Milliseconds = 100;
+const MIN_UPDATE_INTERVAL: Milliseconds = 100;
 /** Time after which an unchanged limit is sent again: daemons remove limits that are not confirmed. */
 const REFRESH_INTERVAL: Milliseconds = 15_000;
 
@@ -12,12 +12,12 @@
   readonly #pending = new Set<ServerId>();
 
   /** Marks an update about a server as pending: its limit has changed, or another daemon has an outdated one. */
-  add(server: ServerId): void {
+  markPending(server: ServerId): void {
     this.#pending.add(server);
   }
 
   /** Records that the current limit of a server was sent to the other daemons. */
-  noteTold(server: ServerId, now: Milliseconds): void {
+  markSent(server: ServerId, now: Milliseconds): void {
     this.#sentAt.set(server, now);
     this.#pending.delete(server);
   }
@@ -28,11 +28,11 @@
   }
 
   /** Returns the servers whose pending updates may be sent now. */
-  due(now: Milliseconds): ServerId[] {
-    return [...this.#pending].filter((server) => this.#timeSinceSent(server, now) >= TELL_INTERVAL);
+  dueServers(now: Milliseconds): ServerId[] {
+    return [...this.#pending].filter((server) => this.#timeSinceSent(server, now) >= MIN_UPDATE_INTERVAL);
   }
 
-  forget(server: ServerId): void {
+  remove(server: ServerId): void {
     this.#sentAt.delete(server);
     this.#pending.delete(server);
   }
--- a/src/router/limits/permit-buckets.ts
+++ b/src/router/limits/permit-buckets.ts
@@ -9,18 +9,18 @@
 
 const SECOND: Milliseconds = 1_000;
 /** Capacity of an idle bucket: this many tokens, or the refill of `BURST_TIME` if that is more. */
-const LEAST_BURST = 2;
+const MIN_BURST_TOKENS = 2;
 const BURST_TIME: Milliseconds = 250;
 /** Grant rates are calculated over the current period of this length and the previous one. */
-const COUNT_PERIOD: Milliseconds = 5_000;
+const GRANT_COUNT_PERIOD: Milliseconds = 5_000;
 
-interface WaitingAsk {
+interface QueuedPermitAsk {
   readonly ask: PermitAsk;
   readonly expiresAt: Milliseconds;
 }
 
 /** Sliding-window count of granted permits per daemon. */
-class GrantCounts {
+class GrantCounter {
   #current = new Map<DaemonName, number>();
   #previous = new Map<DaemonName, number>();
   #periodStart: Milliseconds;
@@ -37,7 +37,7 @@
   /** Returns the permits granted to each daemon, per second. */
   rates(now: Milliseconds): Map<DaemonName, RequestsPerSecond> {
     this.#rotate(now);
-    const time = (now - this.#periodStart + (this.#previous.size > 0 ? COUNT_PERIOD : 0)) / SECOND;
+    const time = (now - this.#periodStart + (this.#previous.size > 0 ? GRANT_COUNT_PERIOD : 0)) / SECOND;
     const daemons = new Set([...this.#current.keys(), ...this.#previous.keys()]);
     const rate = (daemon: DaemonName): number =>
       ((this.#current.get(daemon) ?? 0) + (this.#previous.get(daemon) ?? 0)) / Math.max(1, time);
@@ -46,8 +46,8 @@
 
   #rotate(now: Milliseconds): void {
     const elapsed = now - this.#periodStart;
-    if (elapsed >= COUNT_PERIOD) {
-      this.#previous = elapsed < 2 * COUNT_PERIOD ? this.#current : new Map();
+    if (elapsed >= GRANT_COUNT_PERIOD) {
+      this.#previous = elapsed < 2 * GRANT_COUNT_PERIOD ? this.#current : new Map();
       this.#current = new Map();
       this.#periodStart = now;
     }
@@ -56,18 +56,18 @@
 
 /** The token bucket of one server, with the queue of permit requests. */
 class TokenBucket {
-  readonly grants: GrantCounts;
+  readonly grants: GrantCounter;
   lastGrantAt: Milliseconds = Number.NEGATIVE_INFINITY;
   #tokens = 0;
   #refilledAt: Milliseconds;
-  #queue: WaitingAsk[] = [];
+  #queue: QueuedPermitAsk[] = [];
 
   constructor(now: Milliseconds) {
     this.#refilledAt = now;
-    this.grants = new GrantCounts(now);
+    this.grants = new GrantCounter(now);
   }
 
-  add(ask: PermitAsk, now: Milliseconds): void {
+  enqueue(ask: PermitAsk, now: Milliseconds): void {
     this.#queue.push({ ask, expiresAt: now + ask.wait });
     this.#queue.sort(
       (left, right) => left.ask.priority - right.ask.priority || left.expiresAt - right.expiresAt,
@@ -83,18 +83,18 @@
     this.#refill(rate, now);
     const answers: PermitAnswer[] = this.#removeExpired(now).map(({ ask }) => this.#deny(ask, rate));
     while (this.#tokens >= 1 && this.#queue.length > 0) {
-      const { ask } = this.#queue.shift() as WaitingAsk;
+      const { ask } = this.#queue.shift() as QueuedPermitAsk;
       this.#tokens -= 1;
       this.lastGrantAt = now;
       this.grants.add(ask.daemon, now);
-      answers.push(answerTo(ask, true, 0));
+      answers.push(buildAnswer(ask, true, 0));
     }
     answers.push(...this.#removeUngrantable(rate, now).map(({ ask }) => this.#deny(ask, rate)));
     return answers;
   }
 
   #refill(rate: RequestsPerSecond, now: Milliseconds): void {
-    const capacity = Math.max(LEAST_BURST, (rate * BURST_TIME) / SECOND);
+    const capacity = Math.max(MIN_BURST_TOKENS, (rate * BURST_TIME) / SECOND);
     this.#tokens = Math.min(capacity, this.#tokens + (rate * (now - this.#refilledAt)) / SECOND);
     this.#refilledAt = now;
   }
@@ -106,15 +106,15 @@
 
   #deny(ask: PermitAsk, rate: RequestsPerSecond): PermitAnswer {
     const ahead = this.#queue.filter((other) => other.ask.priority <= ask.priority).length;
-    return answerTo(ask, false, this.#timeUntilToken(ahead, rate));
+    return buildAnswer(ask, false, this.#timeUntilToken(ahead, rate));
   }
 
-  #removeExpired(now: Milliseconds): WaitingAsk[] {
+  #removeExpired(now: Milliseconds): QueuedPermitAsk[] {
     return this.#removeMatching(({ expiresAt }) => expiresAt < now);
   }
 
   /** Removes and returns the requests that would expire before a token is available. */
-  #removeUngrantable(rate: RequestsPerSecond, now: Milliseconds): WaitingAsk[] {
+  #removeUngrantable(rate: RequestsPerSecond, now: Milliseconds): QueuedPermitAsk[] {
     let ahead = 0;
     return this.#removeMatching(({ expiresAt }) => {
       const isTooLate = now + this.#timeUntilToken(ahead, rate) > expiresAt;
@@ -123,16 +123,16 @@
     });
   }
 
-  #removeMatching(shouldRemove: (entry: WaitingAsk) => boolean): WaitingAsk[] {
-    const remaining: WaitingAsk[] = [];
-    const removed: WaitingAsk[] = [];
+  #removeMatching(shouldRemove: (entry: QueuedPermitAsk) => boolean): QueuedPermitAsk[] {
+    const remaining: QueuedPermitAsk[] = [];
+    const removed: QueuedPermitAsk[] = [];
     this.#queue.forEach((entry) => (shouldRemove(entry) ? removed : remaining).push(entry));
     this.#queue = remaining;
     return removed;
   }
 }
 
-function answerTo(ask: PermitAsk, granted: boolean, nextPlaceIn: Milliseconds): PermitAnswer {
+function buildAnswer(ask: PermitAsk, granted: boolean, nextPlaceIn: Milliseconds): PermitAnswer {
   const { server, requestId, priority, path } = ask;
   return { kind: 'permitAnswer', server, requestId, priority, granted, nextPlaceIn, path };
 }
@@ -146,13 +146,13 @@
    *
    * @param rate refill rate, or null if the server has no limit
    */
-  ask(ask: PermitAsk, rate: RequestsPerSecond | null, now: Milliseconds): PermitAnswer[] {
+  requestPermit(ask: PermitAsk, rate: RequestsPerSecond | null, now: Milliseconds): PermitAnswer[] {
     if (rate === null) {
-      return [answerTo(ask, true, 0)];
+      return [buildAnswer(ask, true, 0)];
     }
     const bucket = this.#buckets.get(ask.server) ?? new TokenBucket(now);
     this.#buckets.set(ask.server, bucket);
-    bucket.add(ask, now);
+    bucket.enqueue(ask, now);
     return bucket.grant(rate, now);
   }
 
--- a/src/router/limits/permit-exchange.ts
+++ b/src/router/limits/permit-exchange.ts
@@ -8,40 +8,40 @@
 import type { Leadership } from '../ownership/leadership-state.js';
 import type { RouterContext } from '../router-context.js';
 import type { KnownServer, RouterState } from '../router-state.js';
-import { daemonsBelow } from '../tree/tree-state.js';
-import { type LimitShare, usedRate } from './limit-share.js';
+import { countDescendants } from '../tree/tree-state.js';
+import { type LimitShare, totalSendRate } from './limit-share.js';
 import type { PermitAnswer, PermitAsk } from './permit-messages.js';
-import { ANSWER_MARGIN, type PlaceSeeker } from './permits.js';
+import { ANSWER_MARGIN, type PermitCandidate } from './permits.js';
 
 /** Interval of test requests to a leader that left a permit request unanswered. */
 const PROBE_INTERVAL: Milliseconds = 500;
 /** Request id of a permit request that belongs to no request and only tests whether the leader answers again. */
-const PROBE_REQUEST = 0;
+const PROBE_REQUEST_ID = 0;
 
 /** Returns the share of a server's limit that this daemon may use, or null if the server has no limit. */
 export function limitShareOf(state: RouterState, server: ServerId): LimitShare | null {
   const rate = state.limits.of(server);
-  return rate === null ? null : { rate, daemons: state.daemons, hasGrants: hasGrants(state) };
+  return rate === null ? null : { rate, daemons: state.daemons, isLeaderGranting: isLeaderGranting(state) };
 }
 
-function hasGrants({ leadership, tree, permitContact }: RouterState): boolean {
-  return leadership !== null || (tree.parent !== null && !permitContact.isSilent);
+function isLeaderGranting({ leadership, tree, permitContact }: RouterState): boolean {
+  return leadership !== null || (tree.parent !== null && !permitContact.isUnresponsive);
 }
 
 /** Requests a permit for a held request. Returns the answers for this daemon's own requests if this daemon is the leader. */
-export function askPermit(
+export function requestPermit(
   context: RouterContext,
-  request: PlaceSeeker,
+  request: PermitCandidate,
   { server, permits }: KnownServer,
 ): PermitAnswer[] {
   const { state, now } = context;
   const wait = request.holdUntil - now - ANSWER_MARGIN;
-  if (permits.isAsked(request.id) || wait < 0) {
+  if (permits.isRequested(request.id) || wait < 0) {
     return [];
   }
   state.counters.permits_asked += 1;
-  permits.noteAsked(request.id, wait, now);
-  return passOn(context, {
+  permits.recordRequested(request.id, wait, now);
+  return answerOrForward(context, {
     kind: 'permitAsk',
     server: server.id,
     daemon: state.identity.daemon,
@@ -56,11 +56,11 @@
  * Handles a permit request as the leader, or forwards it to the parent. Returns the answers for this daemon's own requests, which may include
  * others that were queued.
  */
-function passOn(context: RouterContext, ask: PermitAsk): PermitAnswer[] {
+function answerOrForward(context: RouterContext, ask: PermitAsk): PermitAnswer[] {
   const { leadership } = context.state;
   if (leadership !== null) {
-    const rate = refillRate(context, ask.server);
-    return route(context, leadership.permitBuckets.ask(ask, rate, context.now));
+    const rate = permitGrantRate(context, ask.server);
+    return forwardPermitAnswers(context, leadership.permitBuckets.requestPermit(ask, rate, context.now));
   }
   context.emit({ kind: 'sendToParent', message: ask });
   return [];
@@ -68,11 +68,14 @@
 
 /** Handles a permit request from a descendant. Returns the answers for this daemon's own requests. */
 export function receivePermitAsk(context: RouterContext, link: number, ask: PermitAsk): PermitAnswer[] {
-  return passOn(context, { ...ask, path: [...ask.path, link] });
+  return answerOrForward(context, { ...ask, path: [...ask.path, link] });
 }
 
 /** Forwards permit answers to the children on their paths. Returns those for this daemon. */
-export function route(context: RouterContext, answers: readonly PermitAnswer[]): PermitAnswer[] {
+export function forwardPermitAnswers(
+  context: RouterContext,
+  answers: readonly PermitAnswer[],
+): PermitAnswer[] {
   const own: PermitAnswer[] = [];
   for (const answer of answers) {
     const link = answer.path.at(-1);
@@ -87,60 +90,67 @@
 }
 
 /** Records an answer to one of this daemon's permit requests. */
-export function notePermitAnswer({ state, now }: RouterContext, answer: PermitAnswer): void {
+export function recordPermitAnswer({ state, now }: RouterContext, answer: PermitAnswer): void {
   const { server, requestId, priority, granted, nextPlaceIn } = answer;
-  state.permitContact.isSilent = false;
+  state.permitContact.isUnresponsive = false;
   const permits = state.servers.get(server)?.permits;
-  if (requestId === PROBE_REQUEST || permits === undefined) {
+  if (requestId === PROBE_REQUEST_ID || permits === undefined) {
     return;
   }
   if (granted) {
-    permits.noteGranted(requestId, now);
+    permits.recordGranted(requestId, now);
   } else {
     state.counters.permits_denied += 1;
-    permits.noteDenied(requestId, priority, nextPlaceIn, now);
+    permits.recordDenied(requestId, priority, nextPlaceIn, now);
   }
 }
 
 /** Returns the rate at which this leader grants permits for a server, or null if the server has no limit. */
-function refillRate({ state, now }: RouterContext, server: ServerId): RequestsPerSecond | null {
+function permitGrantRate({ state, now }: RouterContext, server: ServerId): RequestsPerSecond | null {
   const limit = state.limits.of(server);
-  const reachableFraction = Math.min(1, (1 + daemonsBelow(state.tree, now)) / state.daemons);
-  return limit === null ? null : usedRate(limit) * reachableFraction;
+  const reachableFraction = Math.min(1, (1 + countDescendants(state.tree, now)) / state.daemons);
+  return limit === null ? null : totalSendRate(limit) * reachableFraction;
 }
 
 /** Grants permits that have become available. Returns the answers for this daemon's own requests. */
 export function tickPermitBuckets(context: RouterContext, { permitBuckets }: Leadership): PermitAnswer[] {
-  return route(
+  return forwardPermitAnswers(
     context,
-    permitBuckets.tick((server) => refillRate(context, server), context.now),
+    permitBuckets.tick((server) => permitGrantRate(context, server), context.now),
   );
 }
 
 /** Detects permit requests that timed out, and tests at intervals whether the leader answers again. */
-export function tickPermitContact(context: RouterContext): void {
+export function tickPermitServiceHealth(context: RouterContext): void {
   const { state, now } = context;
   const { permitContact: contact } = state;
   for (const server of state.limits.servers()) {
-    if (state.servers.get(server)?.permits.takeOverdue(now) === true && state.leadership === null) {
-      contact.isSilent = true;
+    if (state.servers.get(server)?.permits.removeOverdue(now) === true && state.leadership === null) {
+      contact.isUnresponsive = true;
     }
   }
   const [limitedServer] = state.limits.inForce.keys();
-  if (contact.isSilent && now >= contact.nextProbeAt && limitedServer !== undefined) {
+  if (contact.isUnresponsive && now >= contact.nextProbeAt && limitedServer !== undefined) {
     contact.nextProbeAt = now + PROBE_INTERVAL;
     const { daemon } = state.identity;
-    const ask = { server: limitedServer, daemon, requestId: PROBE_REQUEST, priority: 0, wait: 0, path: [] };
-    passOn(context, { kind: 'permitAsk', ...ask });
+    const ask = {
+      server: limitedServer,
+      daemon,
+      requestId: PROBE_REQUEST_ID,
+      priority: 0,
+      wait: 0,
+      path: [],
+    };
+    answerOrForward(context, { kind: 'permitAsk', ...ask });
   }
 }
 
 /** Assumes that permits are granted again after this daemon has connected to a new parent. */
-export function noteNewParent({ state }: RouterContext): void {
-  state.permitContact.isSilent = false;
+export function resetPermitServiceHealth({ state }: RouterContext): void {
+  state.permitContact.isUnresponsive = false;
 }
 
 /** Discards all permits after a suspension: the leader may have granted their capacity to other daemons since. */
-export function dropPermits({ state }: RouterContext): void {
+export function discardPermits({ state }: RouterContext): void {
   state.servers.forEach(({ permits }) => permits.clear());
 }
--- a/src/router/limits/permit-contact.ts
+++ b/src/router/limits/permit-service-health.ts
@@ -2,9 +2,9 @@
 import type { Milliseconds } from '../model/identifiers.js';
 
 /** Whether the leader answers this daemon's permit requests. */
-export interface PermitContact {
+export interface PermitServiceHealth {
   /** A permit request timed out, and no answer has arrived since. */
-  isSilent: boolean;
+  isUnresponsive: boolean;
   /** When the leader is next sent a permit request that only tests whether it answers again. */
   nextProbeAt: Milliseconds;
 }
--- a/src/router/limits/permits.ts
+++ b/src/router/limits/permits.ts
@@ -3,18 +3,18 @@
  * grants none, the daemon sends in the send windows of an equal share instead.
  */
 import type { Milliseconds } from '../model/identifiers.js';
-import { Turns } from '../sharing/turns.js';
+import { SendWindows } from '../sharing/send-windows.js';
 import { type LimitShare, equalShareInterval } from './limit-share.js';
 
 /** Time for which a permit may be used: a permit that is saved for later would exceed the limit then. */
 const PERMIT_VALIDITY: Milliseconds = 300;
 /** Time after the end of its permitted wait at which the answer to a permit request is overdue. */
-const ANSWER_PATIENCE: Milliseconds = 250;
+const ANSWER_TIMEOUT: Milliseconds = 250;
 /** A request that can wait for less than this requests no permit: the answer would arrive too late. */
 export const ANSWER_MARGIN: Milliseconds = 25;
 
 /** A request that needs a permit. */
-export interface PlaceSeeker {
+export interface PermitCandidate {
   readonly id: number;
   readonly priority: number;
   /** Time until which the request can be held. */
@@ -22,11 +22,11 @@
 }
 
 /** Whether a request may be sent now (`free`), perhaps in time once a permit arrives (`awaited`), or not in time (`none`). */
-export type PlaceState = 'free' | 'awaited' | 'none';
+export type SendPermission = 'free' | 'awaited' | 'none';
 
 /** Permits of one daemon for one server. */
 export class Permits {
-  readonly #sendWindows: Turns;
+  readonly #sendWindows: SendWindows;
   /** Expiry times of the unused permits, in ascending order. */
   #validUntil: Milliseconds[] = [];
   /** Times at which the answers to outstanding permit requests are overdue, by request id. */
@@ -36,15 +36,15 @@
 
   /** @param phase offset of the send windows of an equal share, from 0 to 1 */
   constructor(phase: number) {
-    this.#sendWindows = new Turns(phase);
+    this.#sendWindows = new SendWindows(phase);
   }
 
   /** Returns whether and when a request may be sent. */
-  placeFor(request: PlaceSeeker, share: LimitShare, now: Milliseconds): PlaceState {
+  sendPermissionFor(request: PermitCandidate, share: LimitShare, now: Milliseconds): SendPermission {
     if (this.count(now) > 0) {
       return 'free';
     }
-    if (!share.hasGrants) {
+    if (!share.isLeaderGranting) {
       return this.#sendWindows.allows(equalShareInterval(share), now) ? 'free' : 'none';
     }
     const isInTime =
@@ -53,10 +53,10 @@
   }
 
   /** Returns the time until a request of a priority can probably be sent. */
-  untilPlace(priority: number, share: LimitShare, now: Milliseconds): Milliseconds {
-    return share.hasGrants
+  timeUntilPermission(priority: number, share: LimitShare, now: Milliseconds): Milliseconds {
+    return share.isLeaderGranting
       ? Math.max(0, this.#nextAvailableAt(priority) - now)
-      : this.#sendWindows.untilNext(equalShareInterval(share), now);
+      : this.#sendWindows.timeUntilNext(equalShareInterval(share), now);
   }
 
   /** Returns the number of permits that may be used now. */
@@ -68,41 +68,41 @@
   }
 
   /** Records that a request is sent: uses a permit, or else the current send window. */
-  use(now: Milliseconds): void {
+  recordSend(now: Milliseconds): void {
     if (this.count(now) > 0) {
       this.#validUntil.shift();
     } else {
-      this.#sendWindows.use(now);
+      this.#sendWindows.recordSend(now);
     }
   }
 
   /** Returns the permit of a request that was not sent. */
-  giveBack(now: Milliseconds): void {
+  returnUnused(now: Milliseconds): void {
     this.#validUntil.push(now + PERMIT_VALIDITY);
   }
 
   /** Returns whether a permit was requested for a request and the answer is outstanding. */
-  isAsked(requestId: number): boolean {
+  isRequested(requestId: number): boolean {
     return this.#requested.has(requestId);
   }
 
   /** Records that a permit was requested. */
-  noteAsked(requestId: number, wait: Milliseconds, now: Milliseconds): void {
-    this.#requested.set(requestId, now + wait + ANSWER_PATIENCE);
+  recordRequested(requestId: number, wait: Milliseconds, now: Milliseconds): void {
+    this.#requested.set(requestId, now + wait + ANSWER_TIMEOUT);
   }
 
-  noteGranted(requestId: number, now: Milliseconds): void {
+  recordGranted(requestId: number, now: Milliseconds): void {
     this.#requested.delete(requestId);
     this.#validUntil.push(now + PERMIT_VALIDITY);
   }
 
-  noteDenied(requestId: number, priority: number, nextPlaceIn: Milliseconds, now: Milliseconds): void {
+  recordDenied(requestId: number, priority: number, nextPlaceIn: Milliseconds, now: Milliseconds): void {
     this.#requested.delete(requestId);
     this.#unavailableUntil.set(priority, now + nextPlaceIn);
   }
 
   /** Removes permit requests whose answers are overdue. Returns whether there were any. */
-  takeOverdue(now: Milliseconds): boolean {
+  removeOverdue(now: Milliseconds): boolean {
     let isOverdue = false;
     for (const [requestId, dueAt] of this.#requested) {
       if (dueAt < now) {
--- a/src/router/limits/recent-limits.ts
+++ b/src/router/limits/recent-limits.ts
@@ -3,7 +3,7 @@
 import type { RequestsPerSecond } from '../model/server-limit.js';
 
 /** Time for which a limit still counts after it has risen or ended: limits that fluctuate do so within seconds. */
-const MEMORY: Milliseconds = 2_000;
+const LIMIT_RETENTION: Milliseconds = 2_000;
 
 interface RecentLimit {
   readonly rate: RequestsPerSecond;
@@ -23,7 +23,7 @@
     const known = this.#lowest.get(server);
     const isExpired = known === undefined || known.until < now;
     if (rate !== null && (isExpired || rate <= known.rate)) {
-      this.#lowest.set(server, { rate, until: now + MEMORY });
+      this.#lowest.set(server, { rate, until: now + LIMIT_RETENTION });
       return rate;
     }
     if (isExpired) {
--- a/src/router/limits/server-limits.ts
+++ b/src/router/limits/server-limits.ts
@@ -8,17 +8,17 @@
 import type { RequestsPerSecond } from '../model/server-limit.js';
 
 /** Maximum number of servers whose limits are kept. At about 60 bytes each, a daemon that joins is sent 30 KB at most. */
-const MOST_SERVERS = 512;
+const MAX_SERVERS = 512;
 /**
  * Time for which a limit is kept without confirmation. If no response has confirmed it for this long, no daemon has sent the server a request;
  * its next response announces the limit that then applies.
  */
-const UNCONFIRMED_MEMORY: Milliseconds = 60_000;
+const UNCONFIRMED_LIMIT_RETENTION: Milliseconds = 60_000;
 /** Time for which the end of a limit is remembered: longer than an update takes to reach all daemons. */
-const END_MEMORY: Milliseconds = 10_000;
+const ENDED_LIMIT_RETENTION: Milliseconds = 10_000;
 
 /** Maximum transit time of an update from one daemon to the next; added to its age, so that forwarding makes no statement newer. */
-const HOP: Milliseconds = 10;
+const MAX_HOP_DELAY: Milliseconds = 10;
 
 /** The last known state of a server's limit. */
 export interface ServerLimit {
@@ -51,7 +51,7 @@
   readonly rate: RequestsPerSecond | null;
 }
 
-function describe(server: ServerId, { rate, at }: ServerLimit, now: Milliseconds): LimitStatement {
+function toStatement(server: ServerId, { rate, at }: ServerLimit, now: Milliseconds): LimitStatement {
   const limit = rate === null ? null : { rate };
   return { server, limit, age: Math.max(0, Math.round(now - at)) };
 }
@@ -86,7 +86,7 @@
    * @param sentAt when the request was sent
    * @returns the change of the limit in force, or null
    */
-  read(
+  recordReading(
     server: ServerId,
     rate: RequestsPerSecond | null,
     sentAt: Milliseconds,
@@ -102,8 +102,8 @@
   }
 
   /** Merges a statement of another daemon. Returns the change of the limit in force, or null. */
-  hear({ server, limit, age }: LimitStatement, now: Milliseconds): LimitChange | null {
-    const at = now - Math.max(0, age) - HOP;
+  mergeStatement({ server, limit, age }: LimitStatement, now: Milliseconds): LimitChange | null {
+    const at = now - Math.max(0, age) - MAX_HOP_DELAY;
     const known = this.#limits.get(server);
     const isOlder = known !== undefined && at <= known.at;
     return isOlder ? null : this.#record(server, limit?.rate ?? null, at, now);
@@ -125,35 +125,35 @@
 
   #evictOldest(): void {
     const [oldest] = this.#limits.keys();
-    if (this.#limits.size > MOST_SERVERS && oldest !== undefined) {
+    if (this.#limits.size > MAX_SERVERS && oldest !== undefined) {
       this.#limits.delete(oldest);
     }
   }
 
   /** Returns whether a statement is older than, and differs from, what this daemon knows, so that its sender needs an update. */
-  isBehind({ server, limit, age }: LimitStatement, now: Milliseconds): boolean {
+  isOutdated({ server, limit, age }: LimitStatement, now: Milliseconds): boolean {
     const known = this.#limits.get(server);
     return known !== undefined && known.rate !== (limit?.rate ?? null) && now - age < known.at;
   }
 
   /** Returns statements about the given servers, omitting those about which nothing is known. */
-  statementOf(servers: Iterable<ServerId>, now: Milliseconds): LimitStatement[] {
+  statementsFor(servers: Iterable<ServerId>, now: Milliseconds): LimitStatement[] {
     return [...servers].flatMap((server) => {
       const known = this.#limits.get(server);
-      return known === undefined ? [] : [describe(server, known, now)];
+      return known === undefined ? [] : [toStatement(server, known, now)];
     });
   }
 
   /** Returns statements of all limits in force, for a daemon that knows none. */
   statement(now: Milliseconds): LimitStatement[] {
-    return this.statementOf(this.inForce.keys(), now);
+    return this.statementsFor(this.inForce.keys(), now);
   }
 
   /** Removes limits, and records of ended limits, whose last confirmation is too old. Returns the limits that were in force until now. */
-  expire(now: Milliseconds): LimitChange[] {
+  removeExpired(now: Milliseconds): LimitChange[] {
     const ended: LimitChange[] = [];
     for (const [server, { rate, at }] of this.#limits) {
-      if (now - at > (rate === null ? END_MEMORY : UNCONFIRMED_MEMORY)) {
+      if (now - at > (rate === null ? ENDED_LIMIT_RETENTION : UNCONFIRMED_LIMIT_RETENTION)) {
         this.#limits.delete(server);
         if (rate !== null) {
           ended.push({ server, former: rate, rate: null });
--- a/src/router/news/news-age.ts
+++ b/src/router/news/news-age.ts
@@ -16,13 +16,13 @@
 
 /** How long ago the store confirmed what this daemon knows, to itself or to those that it hears. */
 export function newsAge({ state, now }: RouterContext): Milliseconds {
-  const confirmedAt = Math.max(confirmedByStoreAt(state), state.tree.newsConfirmedAt);
+  const confirmedAt = Math.max(confirmedByStoreAt(state), state.tree.parentConfirmedAt);
   return Math.min(LONGEST_AGE, Math.max(0, now - confirmedAt));
 }
 
 /** The parent tells how old its news are. What it knows it has sent, or will with the next report. */
 export function noteParentsNews({ state, now }: RouterContext, age: Milliseconds): void {
-  state.tree.newsConfirmedAt = Math.max(state.tree.newsConfirmedAt, now - age);
+  state.tree.parentConfirmedAt = Math.max(state.tree.parentConfirmedAt, now - age);
 }
 
 /** Says when news get older than changes may take to be in force, and when they are fresh again. */
@@ -30,10 +30,10 @@
   const { state } = context;
   const age = newsAge(context);
   const isOld = state.configuration !== null && age > state.bounds.configuration;
-  if (isOld === state.tree.newsAreOld) {
+  if (isOld === state.tree.updatesAreStale) {
     return;
   }
-  state.tree.newsAreOld = isOld;
+  state.tree.updatesAreStale = isOld;
   const { followsStore: follows } = state;
   context.log(isOld ? 'news_old' : 'news_fresh', { age: Math.round(age), follows }, isOld ? 'warn' : 'info');
 }
--- a/src/router/news/spread-news.ts
+++ b/src/router/news/spread-news.ts
@@ -6,13 +6,13 @@
 import type { Child } from '../tree/tree-state.js';
 import type {
   ConfigurationNews,
-  NewsSource,
+  UpdateSource,
   PeerMessage,
   Report,
   ServerChange,
   ServerNews,
 } from '../peers/messages.js';
-import { hastenReport } from '../tree/reports.js';
+import { sendReportSoon } from '../tree/reports.js';
 import type { Milliseconds } from '../model/identifiers.js';
 import type { RouterContext } from '../router-context.js';
 import * as directory from '../server-directory.js';
@@ -20,7 +20,7 @@
 /** A whole list or configuration is not sent to a child again within this time: the last one may be on its way. */
 const WHOLE_REPEAT: Milliseconds = 1_000;
 
-function spread(context: RouterContext, message: PeerMessage, source: NewsSource): void {
+function spread(context: RouterContext, message: PeerMessage, source: UpdateSource): void {
   context.emit({ kind: 'sendToChildren', link: null, message });
   if (source !== 'parent') {
     context.emit({ kind: 'sendToParent', message });
@@ -31,7 +31,7 @@
 export function takeConfiguration(
   context: RouterContext,
   event: ConfigurationEvent,
-  source: NewsSource,
+  source: UpdateSource,
 ): void {
   if (directory.receiveConfiguration(context, event, source)) {
     const { configuration, revision } = event;
@@ -43,7 +43,7 @@
   context: RouterContext,
   changes: readonly ServerChange[],
   revision: number,
-  source: NewsSource,
+  source: UpdateSource,
 ): void {
   const { serverHistory } = context.state;
   if (serverHistory.end === 0) {
@@ -60,7 +60,7 @@
   takeWholeList(context, event, 'store');
 }
 
-function takeWholeList(context: RouterContext, event: ServersListedEvent, source: NewsSource): void {
+function takeWholeList(context: RouterContext, event: ServersListedEvent, source: UpdateSource): void {
   const changes = directory.receiveServersListed(context, event);
   if (changes !== null) {
     spreadServers(context, changes, event.revision, source);
@@ -76,7 +76,7 @@
   context: RouterContext,
   changes: readonly ServerChange[],
   revision: number,
-  source: NewsSource,
+  source: UpdateSource,
 ): void {
   const effective = directory.receiveServerChanges(context, changes, revision);
   if (effective !== null) {
@@ -85,7 +85,7 @@
 }
 
 /** Another daemon told of changes. */
-export function receiveServerNews(context: RouterContext, news: ServerNews, source: NewsSource): void {
+export function receiveServerNews(context: RouterContext, news: ServerNews, source: UpdateSource): void {
   const position = context.state.serversRevision ?? 0;
   if (news.revision <= position) {
     return;
@@ -97,7 +97,7 @@
     applyChanges(context, news.changes, news.revision, source);
   } else {
     // Something before these was missed: the next report says so to the parent.
-    hastenReport(context);
+    sendReportSoon(context);
   }
 }
 
@@ -105,7 +105,7 @@
 export function receiveConfigurationNews(
   context: RouterContext,
   { configuration, revision }: ConfigurationNews,
-  source: NewsSource,
+  source: UpdateSource,
 ): void {
   takeConfiguration(context, { kind: 'configuration', configuration, revision }, source);
 }
--- a/src/router/news/store-following.ts
+++ b/src/router/news/store-following.ts
@@ -7,7 +7,7 @@
 import type { RouterContext } from '../router-context.js';
 import type { RouterState } from '../router-state.js';
 import { HEARTBEAT_PATIENCE } from '../ownership/ownership-timing.js';
-import { isRelayed } from '../tree/tree-state.js';
+import { hasRelayParent } from '../tree/tree-state.js';
 import { newsAge } from './news-age.js';
 import { newsPatience } from './news-timing.js';
 
@@ -39,14 +39,16 @@
     }
     const isConnecting = tree.parent !== null && election.leaderRefused === 0;
     return isConnecting
-      ? now - tree.followedSince >= FIRST_NEWS_PATIENCE
+      ? now - tree.parentSince >= FIRST_NEWS_PATIENCE
       : now - election.startedAt >= START_PATIENCE;
   }
-  if (now - tree.parentHeardAt > HEARTBEAT_PATIENCE || tree.watchers.includes(identity.daemon)) {
+  if (now - tree.lastParentContactAt > HEARTBEAT_PATIENCE || tree.watchers.includes(identity.daemon)) {
     return true;
   }
   // The leader and its watchers may be heard, and have had no word of the store: the others found out 4 s later.
-  return newsAge(context) > newsPatience(state.bounds, isRelayed(state.tree, state.election.leader?.address));
+  return (
+    newsAge(context) > newsPatience(state.bounds, hasRelayParent(state.tree, state.election.leader?.address))
+  );
 }
 
 /** Who follows the store for longer than a moment reads evacuations there, too; everybody else is told by heartbeats. */
--- a/src/router/news/take-evacuations.ts
+++ b/src/router/news/take-evacuations.ts
@@ -1,8 +1,8 @@
 /** Takes in which zones are evacuated, from the store or from other daemons, and what follows from it here. */
 import type { EvacuationsChangedEvent, EvacuationsListedEvent } from '../events.js';
 import type { RouterContext } from '../router-context.js';
-import { hastenHeartbeat } from '../tree/heartbeats.js';
-import { hastenReport } from '../tree/reports.js';
+import { sendHeartbeatSoon } from '../tree/heartbeats.js';
+import { sendReportSoon } from '../tree/reports.js';
 import type { EvacuationStatement } from './zone-evacuations.js';
 
 /** The store listed every evacuated zone. */
@@ -49,8 +49,8 @@
     context.log('zone_restored', { zone, revision });
     expectColdServers(context, zone);
   });
-  hastenHeartbeat(context);
-  hastenReport(context);
+  sendHeartbeatSoon(context);
+  sendReportSoon(context);
   if (state.leadership !== null) {
     state.leadership.nextPlanAt = now;
   }
--- a/src/router/notices/leaving-news.ts
+++ b/src/router/notices/leaving-news.ts
@@ -3,7 +3,7 @@
  * late by as long; the leader can move keys only if it knows, and a daemon that was started anew knows nothing by itself.
  */
 import type { ServerId } from '../model/identifiers.js';
-import type { LeavingNews, NewsSource } from '../peers/messages.js';
+import type { LeavingNews, UpdateSource } from '../peers/messages.js';
 import type { RouterContext } from '../router-context.js';
 import type { LeavingServer } from './leaving-servers.js';
 
@@ -17,7 +17,7 @@
 export function receiveLeavingNews(
   context: RouterContext,
   { servers }: LeavingNews,
-  source: NewsSource,
+  source: UpdateSource,
 ): void {
   takeLeaving(context, servers, source);
 }
@@ -31,7 +31,7 @@
 function takeLeaving(
   context: RouterContext,
   servers: readonly LeavingServer[],
-  source: NewsSource | 'answer',
+  source: UpdateSource | 'answer',
 ): void {
   const isNews = servers.filter((leaving) => takeOne(context, leaving, source));
   if (isNews.length === 0) {
@@ -53,7 +53,7 @@
 function takeOne(
   context: RouterContext,
   { server, age }: LeavingServer,
-  source: NewsSource | 'answer',
+  source: UpdateSource | 'answer',
 ): boolean {
   const { state, now } = context;
   const at = now - age;
--- a/src/router/notices/server-notices.ts
+++ b/src/router/notices/server-notices.ts
@@ -4,7 +4,7 @@
 import type { RestReading } from '../model/server-notice.js';
 import type { RouterContext } from '../router-context.js';
 import type { KnownServer } from '../router-state.js';
-import { noteOverload } from '../tree/reports.js';
+import { reportOverload } from '../tree/reports.js';
 import { noteLeavingAnswer } from './leaving-news.js';
 import { SHORTEST_MOVED_REST } from './rest-reports.js';
 
@@ -51,7 +51,7 @@
   withdrawFrom(context, known);
   if (state.configuration?.services.get(service)?.keyed === true && rest >= SHORTEST_MOVED_REST) {
     state.tree.rests.push({ server: id, daemon: state.identity.daemon, left: rest });
-    noteOverload(context);
+    reportOverload(context);
   }
 }
 
--- a/src/router/ownership/begin-leadership.ts
+++ b/src/router/ownership/begin-leadership.ts
@@ -4,7 +4,7 @@
 import { RestReports } from '../notices/rest-reports.js';
 import type { Milliseconds } from '../model/identifiers.js';
 import type { RouterContext } from '../router-context.js';
-import { hastenHeartbeat } from '../tree/heartbeats.js';
+import { sendHeartbeatSoon } from '../tree/heartbeats.js';
 import type { Candidacy } from './election-state.js';
 import { FIRST_REFUSED_RETRY } from './leader-confirmation.js';
 import { noteServers } from './leader.js';
@@ -64,7 +64,7 @@
   };
   state.leadership = leadership;
   noteServers(context, leadership);
-  hastenHeartbeat(context);
+  sendHeartbeatSoon(context);
   const { term } = leadership;
   const waitsFor = Math.max(0, Math.round(leadership.formerLeasesEndAt - now));
   context.log('leadership_won', {
--- a/src/router/ownership/candidacy.ts
+++ b/src/router/ownership/candidacy.ts
@@ -5,7 +5,7 @@
 import type { ObjectReadEvent, ObjectWrittenEvent } from '../events.js';
 import type { Milliseconds } from '../model/identifiers.js';
 import type { RouterContext } from '../router-context.js';
-import { follow } from '../tree/parent.js';
+import { connectToParent } from '../tree/parent.js';
 import { beginLeadership } from './begin-leadership.js';
 import type { Candidacy } from './election-state.js';
 import { noteLeader } from './known-leader.js';
@@ -127,7 +127,7 @@
     formerSeenAt,
     former,
   };
-  follow(context, null);
+  connectToParent(context, null);
   context.emit({ kind: 'readObject', object: 'ownership' });
 }
 
--- a/src/router/ownership/election.ts
+++ b/src/router/ownership/election.ts
@@ -6,7 +6,7 @@
 import type { Milliseconds } from '../model/identifiers.js';
 import type { RouterContext } from '../router-context.js';
 import type { RouterState } from '../router-state.js';
-import { isRelayed } from '../tree/tree-state.js';
+import { hasRelayParent } from '../tree/tree-state.js';
 import { claimTable, considerClaim, enterTable, tickCandidacy } from './candidacy.js';
 import { noteLeader } from './known-leader.js';
 import { viewSequence } from './ownership-statement.js';
@@ -55,7 +55,8 @@
     return true;
   }
   const relayIsHeard =
-    isRelayed(tree, state.election.leader?.address) && now - tree.parentHeardAt <= HEARTBEAT_PATIENCE;
+    hasRelayParent(tree, state.election.leader?.address) &&
+    now - tree.lastParentContactAt <= HEARTBEAT_PATIENCE;
   const patience = relayIsHeard ? RELAYED_PATIENCE : HEARTBEAT_PATIENCE;
   const silent = now - election.lastHeartbeatAt > patience;
   // A relay that is heard watches the leader's confirmations itself.
@@ -64,7 +65,7 @@
 
 /** How many times as long as a child of the leader this daemon waits between two looks into the store. */
 function pollingFactor({ tree, daemons }: RouterState): number {
-  return tree.wasRelayed ? Math.min(MOST_INTERVALS, Math.max(1, daemons / DAEMONS_PER_INTERVAL)) : 1;
+  return tree.wasRedirected ? Math.min(MOST_INTERVALS, Math.max(1, daemons / DAEMONS_PER_INTERVAL)) : 1;
 }
 
 /** Until the next read of the leader's object: a store that refuses is asked ever more seldom, since that is paid for. */
--- a/src/router/ownership/known-leader.ts
+++ b/src/router/ownership/known-leader.ts
@@ -5,8 +5,8 @@
 import type { Heartbeat, LeaderIdentity, LeaderNotice } from '../peers/messages.js';
 import { setDaemonCount } from '../request/request-dispatch.js';
 import type { RouterContext } from '../router-context.js';
-import { hastenHeartbeat } from '../tree/heartbeats.js';
-import { follow } from '../tree/parent.js';
+import { sendHeartbeatSoon } from '../tree/heartbeats.js';
+import { connectToParent } from '../tree/parent.js';
 import { stepDown } from './leader-confirmation.js';
 import { HEARTBEAT_PATIENCE } from './ownership-timing.js';
 import type { LeaderRecord } from './stored-objects.js';
@@ -38,7 +38,7 @@
     if (!record.resigned) {
       passOn(context, identityOf(record));
     }
-    follow(context, address);
+    connectToParent(context, address);
   }
 }
 
@@ -53,7 +53,7 @@
   election.lastHeartbeatAt = Number.NEGATIVE_INFINITY;
   election.leaderRefused = 0;
   context.log('leader_seen', { term, leader, address: leaderAddress, revision });
-  hastenHeartbeat(context);
+  sendHeartbeatSoon(context);
 }
 
 /**
@@ -72,9 +72,9 @@
   }
   adoptLeader(context, notice, 0);
   passOn(context, notice);
-  const hearsRelay = tree.wasRelayed && context.now - tree.parentHeardAt <= HEARTBEAT_PATIENCE;
+  const hearsRelay = tree.wasRedirected && context.now - tree.lastParentContactAt <= HEARTBEAT_PATIENCE;
   if (!hearsRelay) {
-    follow(context, notice.leaderAddress);
+    connectToParent(context, notice.leaderAddress);
   }
 }
 
@@ -88,9 +88,9 @@
   if (heartbeat.term > (election.leader?.term ?? 0)) {
     adoptLeader(context, heartbeat, heartbeat.leaderRevision);
   }
-  tree.parentHeardAt = now;
+  tree.lastParentContactAt = now;
   tree.watchers = heartbeat.watchers;
-  tree.wasRelayed &&= heartbeat.heardAge > 0;
+  tree.wasRedirected &&= heartbeat.heardAge > 0;
   const heardAt = now - heartbeat.heardAge;
   if (heardAt >= election.lastHeartbeatAt) {
     election.lastHeartbeatAt = heardAt;
--- a/src/router/ownership/leader-intake.ts
+++ b/src/router/ownership/leader-intake.ts
@@ -2,8 +2,8 @@
 import type { Milliseconds } from '../model/identifiers.js';
 import { setDaemonCount } from '../request/request-dispatch.js';
 import type { RouterContext } from '../router-context.js';
-import { daemonsBelow } from '../tree/tree-state.js';
-import { takeKeySamples, takeTimes } from '../tree/reports.js';
+import { countDescendants } from '../tree/tree-state.js';
+import { collectKeySamples, collectServerTimes } from '../tree/reports.js';
 import { keyLoadOf } from './key-load.js';
 import type { Leadership } from './leadership-state.js';
 import { noteFormerEnded } from './server-lease.js';
@@ -16,10 +16,10 @@
 const HASTENED_PLAN_INTERVAL: Milliseconds = 200;
 
 function takeLoad(context: RouterContext, leadership: Leadership): void {
-  for (const sample of takeKeySamples(context)) {
+  for (const sample of collectKeySamples(context)) {
     keyLoadOf(leadership, sample.service).add(sample, context.now);
   }
-  for (const seen of takeTimes(context)) {
+  for (const seen of collectServerTimes(context)) {
     let pace = leadership.paces.get(seen.server);
     if (pace === undefined) {
       pace = new ServerPace(context.now);
@@ -55,5 +55,5 @@
     state.tree.overloaded = false;
     leadership.nextPlanAt = Math.min(leadership.nextPlanAt, leadership.plannedAt + HASTENED_PLAN_INTERVAL);
   }
-  setDaemonCount(state, leadership.daemonCount.note(1 + daemonsBelow(state.tree, now), now));
+  setDaemonCount(state, leadership.daemonCount.note(1 + countDescendants(state.tree, now), now));
 }
--- a/src/router/ownership/leader-plan.ts
+++ b/src/router/ownership/leader-plan.ts
@@ -1,5 +1,5 @@
 /** Gathers what an assignment is planned from, and writes the plan. */
-import { LEAST_RATE } from '../limits/limit-share.js';
+import { MIN_TOTAL_RATE } from '../limits/limit-share.js';
 import type { Milliseconds, ServerId, ServiceName } from '../model/identifiers.js';
 import type { RequestsPerSecond } from '../model/server-limit.js';
 import type { RouterContext } from '../router-context.js';
@@ -37,7 +37,7 @@
   const isLeaving = drainingSince !== null || context.state.evacuations.has(server.zone);
   const isResting = leadership.rests.isResting(server.id, context.state.daemons, context.now);
   const limit = recentLimit(context, leadership, server.id);
-  const takesAny = limit === null || limit >= LEAST_RATE;
+  const takesAny = limit === null || limit >= MIN_TOTAL_RATE;
   return !isLeaving && !isResting && takesAny && !lease.silent && !lease.ended;
 }
 
--- a/src/router/peers/messages.ts
+++ b/src/router/peers/messages.ts
@@ -116,7 +116,7 @@
   readonly address: string;
 }
 /** Where an update came from; it isn't sent back there. */
-export type NewsSource = 'store' | 'parent' | 'child';
+export type UpdateSource = 'store' | 'parent' | 'child';
 /** The entry of one server after a change. */
 export interface ServerChange {
   /** Name of the entry. */
--- a/src/router/quarantine/quarantine.ts
+++ b/src/router/quarantine/quarantine.ts
@@ -3,7 +3,7 @@
  * enough. What ran at a server that ended shares the blame; a success elsewhere clears it. docs/design/quarantine.md
  * tells why nobody innocent stays in quarantine, and the ways weighed.
  */
-import type { CrashNews, NewsSource } from '../peers/messages.js';
+import type { CrashNews, UpdateSource } from '../peers/messages.js';
 import type { Milliseconds, ServerId } from '../model/identifiers.js';
 import { headOf, type RequestFingerprint } from '../model/request-fingerprint.js';
 import type { ActiveRequest } from '../request/active-request.js';
@@ -32,7 +32,7 @@
 export const QUARANTINE_REASON = 'servers have ended under this request: it is not sent to any other';
 
 /** Where records come from: this daemon's own observations among them. */
-type RecordSource = NewsSource | 'observed';
+type RecordSource = UpdateSource | 'observed';
 
 /** Records that changed here go to the neighbours that don't know of it. */
 function spread(context: RouterContext, records: readonly CrashRecord[], source: RecordSource): void {
@@ -137,7 +137,7 @@
 }
 
 /** Another daemon told of servers that ended. */
-export function receiveCrashNews(context: RouterContext, { records }: CrashNews, source: NewsSource): void {
+export function receiveCrashNews(context: RouterContext, { records }: CrashNews, source: UpdateSource): void {
   takeRecords(context, records, source);
 }
 
--- a/src/router/reducer.ts
+++ b/src/router/reducer.ts
@@ -13,13 +13,13 @@
 } from './events.js';
 import type { Milliseconds } from './model/identifiers.js';
 import { tickLimitProbes } from './limits/limit-probes.js';
-import { receiveLimitNews, tickLimits } from './limits/limit-news.js';
+import { receiveLimitNews, tickLimitUpdates } from './limits/limit-propagation.js';
 import {
-  noteNewParent,
+  resetPermitServiceHealth,
   receivePermitAsk,
-  route,
+  forwardPermitAnswers,
   tickPermitBuckets,
-  tickPermitContact,
+  tickPermitServiceHealth,
 } from './limits/permit-exchange.js';
 import { receiveServerLimit } from './limits/limit-readings.js';
 import * as candidacy from './ownership/candidacy.js';
@@ -53,10 +53,10 @@
 import { doubtRead, doubtWrite, resume } from './resume.js';
 import { RouterContext } from './router-context.js';
 import type { RouterState } from './router-state.js';
-import { forgetChild, receiveReport } from './tree/children.js';
+import { removeChild, receiveReport } from './tree/children.js';
 import { tickHeartbeats } from './tree/heartbeats.js';
 import { receiveParentClosed, receiveRedirect, tickParent } from './tree/parent.js';
-import { reportAtOnce, tickReports } from './tree/reports.js';
+import { sendReportNow, tickReports } from './tree/reports.js';
 
 /**
  * Takes one event in.
@@ -113,7 +113,7 @@
     case 'peerMessage':
       return receivePeerMessage(context, event);
     case 'peerLeft':
-      return forgetChild(context, event.link);
+      return removeChild(context, event.link);
     case 'parentLinkOpened':
       return greetParent(context);
     case 'parentLinkClosed':
@@ -146,15 +146,15 @@
   tickServerEnds(context);
   quarantine.tickQuarantine(context);
   tickStoredQuarantines(context);
-  tickLimits(context);
-  tickPermitContact(context);
+  tickLimitUpdates(context);
+  tickPermitServiceHealth(context);
   tickRequests(context);
 }
 
 /** The connection to a parent is new: it may lack what this daemon has seen. */
 function greetParent(context: RouterContext): void {
-  reportAtOnce(context);
-  noteNewParent(context);
+  sendReportNow(context);
+  resetPermitServiceHealth(context);
   for (const message of describeNotices(context)) {
     context.emit({ kind: 'sendToParent', message });
   }
@@ -259,6 +259,6 @@
     case 'permitAsk':
       return processPermitAnswers(context, receivePermitAsk(context, link, message));
     case 'permitAnswer':
-      return processPermitAnswers(context, route(context, [message]));
+      return processPermitAnswers(context, forwardPermitAnswers(context, [message]));
   }
 }
--- a/src/router/request/admission-window.ts
+++ b/src/router/request/admission-window.ts
@@ -5,7 +5,7 @@
  * room for less than one request of each daemon: the window is then a fraction of one request and sets the time that a daemon waits
  * between two requests. Owners shed fewer requests as a result.
  */
-import { equalPart } from '../sharing/equal-part.js';
+import { equalShare } from '../sharing/equal-share.js';
 import type { Milliseconds } from '../model/identifiers.js';
 
 /**
@@ -49,7 +49,7 @@
    * @param daemons number of daemons that share the owner
    */
   constructor(slots: number, daemons: number) {
-    this.#size = Math.min(MAX_INITIAL_WINDOW, equalPart(slots * INITIAL_REQUESTS_PER_SLOT, daemons));
+    this.#size = Math.min(MAX_INITIAL_WINDOW, equalShare(slots * INITIAL_REQUESTS_PER_SLOT, daemons));
   }
 
   /** Returns whether one more request may be sent while `inFlight` requests are in flight. */
--- a/src/router/request/attempt-outcome.ts
+++ b/src/router/request/attempt-outcome.ts
@@ -7,7 +7,7 @@
 import { CRASHES_FOR_QUARANTINE } from '../quarantine/crash-entry.js';
 import { noteRequestAnswered, noteRetestLost } from '../quarantine/quarantine.js';
 import { noteAttemptAt, noteConnectionEnded } from '../quarantine/server-ends.js';
-import { noteOverload } from '../tree/reports.js';
+import { reportOverload } from '../tree/reports.js';
 import type { ActiveRequest } from './active-request.js';
 import {
   avoidAfterFailure,
@@ -82,7 +82,7 @@
       state.counters.attempts_not_sent += 1;
       request.attempts -= 1;
       if (request.usedPermit) {
-        known?.permits.giveBack(now);
+        known?.permits.returnUnused(now);
       }
       if (known?.rest.left(now) === 0) {
         avoidAfterFailure(known, now);
@@ -152,7 +152,7 @@
     return;
   }
   if (request.key !== null && !result.misdirected) {
-    noteOverload(context);
+    reportOverload(context);
   }
   if (request.key !== null && known !== undefined && reading !== null && isAtCapacity(reading)) {
     known.load.window.shed(request.attemptStartedAt, now);
--- a/src/router/request/cold-admission.ts
+++ b/src/router/request/cold-admission.ts
@@ -1,6 +1,6 @@
 /** Rate at which all daemons together send requests to a cold server, one that has just started. */
 import type { Milliseconds } from '../model/identifiers.js';
-import { TURN, turnInterval } from '../sharing/turns.js';
+import { SEND_WINDOW, sendWindowInterval } from '../sharing/send-windows.js';
 
 /** Bound on the requests that a cold server gets in one second. */
 export interface ColdStartLimits {
@@ -26,10 +26,10 @@
   // Solves m + d * sqrt(m) = maxPerSecond for the mean m. The last factor: one second overlaps turns that begin in SECOND + TURN.
   const root =
     (Math.sqrt(STANDARD_DEVIATIONS * STANDARD_DEVIATIONS + 4 * maxPerSecond) - STANDARD_DEVIATIONS) / 2;
-  return (root * root) / (1 + TURN / SECOND);
+  return (root * root) / (1 + SEND_WINDOW / SECOND);
 }
 
 /** Returns the time between the starts of two turns of one daemon at one cold server. */
 export function coldTurnInterval(maxPerSecond: number, daemons: number): Milliseconds {
-  return turnInterval(meanColdRate(maxPerSecond), daemons);
+  return sendWindowInterval(meanColdRate(maxPerSecond), daemons);
 }
--- a/src/router/request/destination.ts
+++ b/src/router/request/destination.ts
@@ -3,7 +3,7 @@
 import type { Milliseconds, ServerId, ServiceName } from '../model/identifiers.js';
 import type { RouterContext } from '../router-context.js';
 import type { KnownServer } from '../router-state.js';
-import { equalPart } from '../sharing/equal-part.js';
+import { equalShare } from '../sharing/equal-share.js';
 import type { ActiveRequest } from './active-request.js';
 import { coldTurnInterval } from './cold-admission.js';
 import {
@@ -38,7 +38,7 @@
 function maxInFlightPerServer(context: RouterContext, service: ServiceName): number {
   const { configuration, daemons } = context.state;
   const limit = configuration?.services.get(service)?.connectionLimit ?? Number.POSITIVE_INFINITY;
-  return Math.max(1, Math.floor(equalPart(limit * USED_CONNECTION_FRACTION, daemons)));
+  return Math.max(1, Math.floor(equalShare(limit * USED_CONNECTION_FRACTION, daemons)));
 }
 
 /** Returns the time between two turns of this daemon at a cold server of a service; null: requests to cold servers are not bounded. */
--- a/src/router/request/refusals.ts
+++ b/src/router/request/refusals.ts
@@ -3,7 +3,7 @@
 import type { Milliseconds } from '../model/identifiers.js';
 import type { RouterContext } from '../router-context.js';
 import type { KnownServer } from '../router-state.js';
-import { noteOverload } from '../tree/reports.js';
+import { reportOverload } from '../tree/reports.js';
 import type { ActiveRequest } from './active-request.js';
 import { OVERLOAD_RETRY_AFTER } from './request-timing.js';
 import type { Ineligibility } from './server-eligibility.js';
@@ -103,12 +103,12 @@
   { server, permits }: KnownServer,
 ): Milliseconds {
   const share = limitShareOf(state, server.id);
-  return share === null ? 0 : permits.untilPlace(request.route.priority, share, now);
+  return share === null ? 0 : permits.timeUntilPermission(request.route.priority, share, now);
 }
 
 /** Returns a refusal because an owner is at capacity, and records the overload. */
 export function createOverloadRefusal(context: RouterContext, { server }: KnownServer): RoutingRefusal {
-  noteOverload(context);
+  reportOverload(context);
   return createTransientRefusal(`the owner ${server.id} is full`);
 }
 
@@ -143,7 +143,7 @@
     case 'overloaded':
       return createOverloadRefusal(context, known);
     case 'at_limit': {
-      noteOverload(context);
+      reportOverload(context);
       const reason = `the limit of ${owner} leaves no place in time`;
       const left = timeUntilPermit(context, request, known);
       return { ...createLimitRefusal(context, request, reason, left), canHold: false };
--- a/src/router/request/request-arrival.ts
+++ b/src/router/request/request-arrival.ts
@@ -6,7 +6,7 @@
 import type { RouterContext } from '../router-context.js';
 import type { ActiveRequest } from './active-request.js';
 import { isHeldBack, isKeptBack, refuseHeldBack, refuseQuarantined } from '../quarantine/quarantine.js';
-import { tallyKeys } from '../tree/reports.js';
+import { addKeyRequestCounts } from '../tree/reports.js';
 import { retryBudgetOf, dispatchRequest } from './request-dispatch.js';
 import { HOLD_FRACTION } from './request-timing.js';
 
@@ -94,7 +94,7 @@
   }
   state.requests.set(request.id, request);
   if (request.key !== null) {
-    tallyKeys(context, { service: request.service, keys: [request.key], counts: [1] });
+    addKeyRequestCounts(context, { service: request.service, keys: [request.key], counts: [1] });
   }
   dispatchRequest(context, request);
 }
--- a/src/router/request/request-dispatch.ts
+++ b/src/router/request/request-dispatch.ts
@@ -9,7 +9,7 @@
 import type { KnownServer, RouterState } from '../router-state.js';
 import type { ActiveRequest } from './active-request.js';
 import type { PermitAnswer } from '../limits/permit-messages.js';
-import { askPermit, notePermitAnswer } from '../limits/permit-exchange.js';
+import { requestPermit, recordPermitAnswer } from '../limits/permit-exchange.js';
 import { findDestination } from './destination.js';
 import { isRefusal, type RoutingRefusal } from './refusals.js';
 import { RetryBudget } from './retry-budget.js';
@@ -90,14 +90,14 @@
   request.retryAt = now + HELD_RETRY_INTERVAL;
   if (permitFrom !== null) {
     const seeker = { id: request.id, priority: request.route.priority, holdUntil: request.holdUntil };
-    processPermitAnswers(context, askPermit(context, seeker, permitFrom));
+    processPermitAnswers(context, requestPermit(context, seeker, permitFrom));
   }
 }
 
 /** Records answers to this daemon's requests for permits, and dispatches the held requests that waited for them. */
 export function processPermitAnswers(context: RouterContext, answers: readonly PermitAnswer[]): void {
   for (const answer of answers) {
-    notePermitAnswer(context, answer);
+    recordPermitAnswer(context, answer);
     const request = context.state.requests.get(answer.requestId);
     if (request?.server === null) {
       dispatchRequest(context, request);
@@ -119,7 +119,7 @@
   }
   usePermit(context, request, known);
   known.load.inFlight.set(request.id, context.now);
-  known.coldTurns.use(context.now);
+  known.coldTurns.recordSend(context.now);
   known.load.window.sent(context.now);
   context.emit({
     kind: 'forward',
@@ -136,7 +136,7 @@
 function usePermit({ state, now }: RouterContext, request: ActiveRequest, known: KnownServer): void {
   request.usedPermit = state.limits.of(known.server.id) !== null;
   if (request.usedPermit) {
-    known.permits.use(now);
+    known.permits.recordSend(now);
   }
 }
 
--- a/src/router/request/retry-budget.ts
+++ b/src/router/request/retry-budget.ts
@@ -3,7 +3,7 @@
  * number. Each daemon keeps a token bucket that holds an equal part of the fixed number and is refilled by the ratio of its own requests.
  */
 
-import { equalPart } from '../sharing/equal-part.js';
+import { equalShare } from '../sharing/equal-share.js';
 
 /** Bound on the retries of all daemons together. */
 export interface RetryBudgetLimits {
@@ -25,14 +25,14 @@
   /** @param daemons number of daemons that share the budget */
   constructor(limits: RetryBudgetLimits, daemons: number) {
     this.#limits = limits;
-    this.#capacity = equalPart(limits.extra * USED_FRACTION, daemons);
+    this.#capacity = equalShare(limits.extra * USED_FRACTION, daemons);
     // A daemon that has just restarted may have spent its part in its previous incarnation.
     this.#tokens = this.#capacity / 2;
   }
 
   /** Sets the number of daemons that share the budget. */
   setDaemonCount(daemons: number): void {
-    this.#capacity = equalPart(this.#limits.extra * USED_FRACTION, daemons);
+    this.#capacity = equalShare(this.#limits.extra * USED_FRACTION, daemons);
     this.#tokens = Math.min(this.#tokens, this.#capacity);
   }
 
--- a/src/router/request/server-eligibility.ts
+++ b/src/router/request/server-eligibility.ts
@@ -3,12 +3,12 @@
  * first one that fails is returned: what a server stated itself comes before what this daemon estimates. The conditions end independently.
  */
 import type { LimitShare } from '../limits/limit-share.js';
-import type { Permits, PlaceSeeker } from '../limits/permits.js';
+import type { Permits, PermitCandidate } from '../limits/permits.js';
 import type { Milliseconds, ServerId } from '../model/identifiers.js';
 import type { ServerDescription } from '../model/server.js';
 import type { ZoneEvacuations } from '../news/zone-evacuations.js';
 import type { ServerRest } from '../notices/server-rest.js';
-import type { Turns } from '../sharing/turns.js';
+import type { SendWindows } from '../sharing/send-windows.js';
 import type { ServerLoad } from './server-load.js';
 
 /** A server with the state that the checks depend on. */
@@ -18,7 +18,7 @@
   /** Time until which the server is cold after its start. */
   readonly coldUntil: Milliseconds;
   /** Turns in which this daemon may send to the server while it is cold. */
-  readonly coldTurns: Turns;
+  readonly coldTurns: SendWindows;
   /** Back-off that the server asked of this daemon. */
   readonly rest: ServerRest;
   /** Time at which draining began; null when the server isn't draining. */
@@ -44,7 +44,7 @@
   /** Returns this daemon's share of a server's rate limit; null: the server has none. */
   readonly shareOf: (server: ServerId) => LimitShare | null;
   /** The request to send, as a seeker of a permit. */
-  readonly seeker: PlaceSeeker;
+  readonly seeker: PermitCandidate;
 }
 
 /** Why a server may not get a request now. */
@@ -96,7 +96,7 @@
   { shareOf, seeker, now }: EligibilityContext,
 ): Ineligibility | null {
   const share = shareOf(server.id);
-  const permit = share === null ? 'free' : permits.placeFor(seeker, share, now);
+  const permit = share === null ? 'free' : permits.sendPermissionFor(seeker, share, now);
   switch (permit) {
     case 'free':
       return null;
--- a/src/router/request/server-selection.ts
+++ b/src/router/request/server-selection.ts
@@ -59,7 +59,7 @@
     if (gate === null) {
       eligible.add(candidate, cost(candidate, context));
     } else if (gate === 'awaits_permit') {
-      const isAsked = candidate.permits.isAsked(context.seeker.id);
+      const isAsked = candidate.permits.isRequested(context.seeker.id);
       (isAsked ? permitRequested : awaitingPermit).add(
         candidate,
         cost(candidate, context) + PERMIT_WAIT_COST,
--- a/src/router/resume.ts
+++ b/src/router/resume.ts
@@ -10,7 +10,7 @@
   WriteOutcome,
 } from './events.js';
 import type { FeedName } from './model/identifiers.js';
-import { dropPermits } from './limits/permit-exchange.js';
+import { discardPermits } from './limits/permit-exchange.js';
 import { dropCandidacy } from './ownership/candidacy.js';
 import type { RouterContext } from './router-context.js';
 
@@ -23,7 +23,7 @@
   context.log('machine_resumed', { length: Math.round(length), counted: isCounted }, 'warn');
   state.resumedAt = context.now;
   doubtLeadership(context);
-  dropPermits(context);
+  discardPermits(context);
   doubtNews(context);
 }
 
--- a/src/router/router-state.ts
+++ b/src/router/router-state.ts
@@ -15,7 +15,7 @@
 import { ServerHistory } from './news/server-history.js';
 import { ServerRest } from './notices/server-rest.js';
 import { LimitUpdates } from './limits/limit-updates.js';
-import type { PermitContact } from './limits/permit-contact.js';
+import type { PermitServiceHealth } from './limits/permit-service-health.js';
 import type { Permits } from './limits/permits.js';
 import { ServerLimits } from './limits/server-limits.js';
 import { LeavingServers } from './notices/leaving-servers.js';
@@ -25,12 +25,12 @@
 import { CrashTable } from './quarantine/crash-table.js';
 import { createServerEnds, type ServerEnds } from './quarantine/broken-connections.js';
 import { createStoredQuarantines, type StoredQuarantines } from './quarantine/stored-quarantines-state.js';
-import type { Turns } from './sharing/turns.js';
+import type { SendWindows } from './sharing/send-windows.js';
 import type { RetryBudget } from './request/retry-budget.js';
 import type { ServerLoad } from './request/server-load.js';
 import type { ServiceProfile } from './request/service-profile.js';
-import { createTree, type TreeState } from './tree/tree-state.js';
-import type { KeyTally } from './tree/key-tally.js';
+import { createTreeState, type TreeState } from './tree/tree-state.js';
+import type { KeyRequestCounts } from './tree/key-request-counts.js';
 import type { RouterBounds } from './router-bounds.js';
 import { TargetRotation } from './request/target-rotation.js';
 
@@ -53,7 +53,7 @@
   /** It is cold, as far as this daemon knows, until then. */
   coldUntil: Milliseconds;
   /** When it may get requests of this daemon while it is cold. */
-  readonly coldTurns: Turns;
+  readonly coldTurns: SendWindows;
   /** When this daemon learned of it. */
   readonly knownSince: Milliseconds;
   /** The rest that it wants from this daemon. */
@@ -98,7 +98,7 @@
   /** Limits that answers named for what servers get of all daemons. */
   readonly limits: ServerLimits;
   readonly limitUpdates: LimitUpdates;
-  readonly permitContact: PermitContact;
+  readonly permitContact: PermitServiceHealth;
   readonly profiles: Map<ServiceName, ServiceProfile>;
   /** Daemons that share the retry budget, as last heard. */
   daemons: number;
@@ -114,7 +114,7 @@
   readonly budgets: Map<ServiceName, RetryBudget>;
   readonly rotation: TargetRotation;
   /** Keys that callers asked for, here and below, since the last report. */
-  readonly keyTallies: Map<ServiceName, KeyTally>;
+  readonly keyTallies: Map<ServiceName, KeyRequestCounts>;
   /** Under which requests servers have ended. */
   readonly crashes: CrashTable;
   nextCrashExpiryAt: Milliseconds;
@@ -147,7 +147,7 @@
     followsStore: false,
     followsStoreSince: 0,
     followsEvacuations: false,
-    tree: createTree(),
+    tree: createTreeState(),
     feedLags: { configuration: createFeedLag(), servers: createFeedLag() },
     feeds: createFeedHealths(),
     servers: new Map(),
@@ -156,7 +156,7 @@
     leaving: new LeavingServers(),
     limits: new ServerLimits(),
     limitUpdates: new LimitUpdates(),
-    permitContact: { isSilent: false, nextProbeAt: 0 },
+    permitContact: { isUnresponsive: false, nextProbeAt: 0 },
     profiles: new Map(),
     daemons: FIRST_DAEMONS,
     view: EMPTY_VIEW,
--- a/src/router/server-directory.ts
+++ b/src/router/server-directory.ts
@@ -5,12 +5,12 @@
 import { RouteTable } from './model/route-table.js';
 import { instanceOf } from './model/server-life.js';
 import type { ServerDescription } from './model/server.js';
-import type { NewsSource, ServerChange } from './peers/messages.js';
+import type { UpdateSource, ServerChange } from './peers/messages.js';
 import { Permits } from './limits/permits.js';
 import { ServerRest } from './notices/server-rest.js';
 import { ServerLoad } from './request/server-load.js';
 import { ServiceProfile } from './request/service-profile.js';
-import { Turns } from './sharing/turns.js';
+import { SendWindows } from './sharing/send-windows.js';
 import type { RouterContext } from './router-context.js';
 import type { KnownServer } from './router-state.js';
 
@@ -18,7 +18,7 @@
 export function receiveConfiguration(
   context: RouterContext,
   event: ConfigurationEvent,
-  source: NewsSource,
+  source: UpdateSource,
 ): boolean {
   const { state } = context;
   const { configuration, revision } = event;
@@ -133,7 +133,7 @@
       server,
       load: new ServerLoad(profileOf(context, server.service), server.slots, context.state.daemons),
       coldUntil: context.now + server.warmupLeft,
-      coldTurns: new Turns(phase),
+      coldTurns: new SendWindows(phase),
       permits: new Permits(phase),
       rest: new ServerRest(),
       knownSince: context.now,
--- a/src/router/sharing/equal-part.ts
+++ b/src/router/sharing/equal-share.ts
@@ -4,6 +4,6 @@
  */
 
 /** Returns one daemon's share. */
-export function equalPart(total: number, daemons: number): number {
+export function equalShare(total: number, daemons: number): number {
   return total / daemons;
 }
--- a/src/router/sharing/turns.ts
+++ b/src/router/sharing/send-windows.ts
@@ -6,7 +6,7 @@
 import type { Milliseconds } from '../model/identifiers.js';
 
 /** Length of a send window: long enough that a busy daemon has a request to send in it. */
-export const TURN: Milliseconds = 250;
+export const SEND_WINDOW: Milliseconds = 250;
 const SECOND: Milliseconds = 1_000;
 
 /**
@@ -14,12 +14,12 @@
  *
  * @param rate of all daemons together, in requests per second
  */
-export function turnInterval(rate: number, daemons: number): Milliseconds {
+export function sendWindowInterval(rate: number, daemons: number): Milliseconds {
   return (daemons * SECOND) / rate;
 }
 
 /** The send windows of one daemon at one server. */
-export class Turns {
+export class SendWindows {
   /** Offset of the windows as a fraction of the interval, random for each daemon and server. */
   readonly #phase: number;
   #usedAt: Milliseconds = Number.NEGATIVE_INFINITY;
@@ -32,20 +32,20 @@
   /** Returns whether a request may be sent now. */
   allows(interval: Milliseconds, now: Milliseconds): boolean {
     const timeIntoWindow = this.#timeSinceWindowStart(interval, now);
-    const isInWindow = timeIntoWindow < TURN;
+    const isInWindow = timeIntoWindow < SEND_WINDOW;
     // One request per window: the previous one must lie before this window, and at least the gap between two windows back. Half the
     // interval separates requests where windows touch.
     const timeSinceUse = now - this.#usedAt;
-    return isInWindow && timeSinceUse >= Math.max(interval - TURN, timeIntoWindow, interval / 2);
+    return isInWindow && timeSinceUse >= Math.max(interval - SEND_WINDOW, timeIntoWindow, interval / 2);
   }
 
   /** Returns the time until the next window starts. */
-  untilNext(interval: Milliseconds, now: Milliseconds): Milliseconds {
+  timeUntilNext(interval: Milliseconds, now: Milliseconds): Milliseconds {
     return interval - this.#timeSinceWindowStart(interval, now);
   }
 
   /** Records that a request is sent in the current window. */
-  use(now: Milliseconds): void {
+  recordSend(now: Milliseconds): void {
     this.#usedAt = now;
   }
 
--- a/src/router/tree/children.ts
+++ b/src/router/tree/children.ts
@@ -8,13 +8,13 @@
 import type { RouterContext } from '../router-context.js';
 import { buildHeartbeat } from './heartbeats.js';
 import { chooseRelay } from './relay-choice.js';
-import { noteOverload, tallyKeys } from './reports.js';
+import { reportOverload, addKeyRequestCounts } from './reports.js';
 import { type Child, isReporting } from './tree-state.js';
 
 /** Merges a child's report and sends the updates that the child lacks. Redirects a new child to a relay or adds it. */
 export function receiveReport(context: RouterContext, link: number, report: Report): void {
   takeEvacuations(context, report.evacuations);
-  report.samples.forEach((sample) => tallyKeys(context, sample));
+  report.samples.forEach((sample) => addKeyRequestCounts(context, sample));
   context.state.tree.times.push(...report.times);
   context.state.tree.started.push(...report.started);
   context.state.tree.rests.push(...report.rests);
@@ -22,16 +22,16 @@
     noteVersionsOf(context, report);
   }
   if (report.overloaded || report.rests.length > 0) {
-    noteOverload(context);
+    reportOverload(context);
   }
   const known = context.state.tree.children.get(link);
   if (known !== undefined) {
     known.lastReportAt = context.now;
     known.daemons = report.daemons;
-    tellWhatIsMissed(context, link, known, report);
+    sendMissedUpdates(context, link, known, report);
     return;
   }
-  const relay = relayFor(context, report);
+  const relay = relayForNewChild(context, report);
   if (relay !== undefined) {
     relay.daemons += report.daemons;
     const message = { kind: 'redirect', address: relay.address } as const;
@@ -42,7 +42,7 @@
 }
 
 /** Returns the relay for a new child, or undefined. Only the leader redirects, and only daemons without children of their own. */
-function relayFor({ state, now }: RouterContext, report: Report): Child | undefined {
+function relayForNewChild({ state, now }: RouterContext, report: Report): Child | undefined {
   if (state.leadership === null || report.daemons > 1) {
     return undefined;
   }
@@ -73,10 +73,10 @@
   for (const message of describeNotices(context)) {
     context.emit({ kind: 'sendToChildren', link, message });
   }
-  tellWhatIsMissed(context, link, child, report);
+  sendMissedUpdates(context, link, child, report);
 }
 
-function tellWhatIsMissed(context: RouterContext, link: number, child: Child, report: Report): void {
+function sendMissedUpdates(context: RouterContext, link: number, child: Child, report: Report): void {
   const { view, leadership, election } = context.state;
   const isCurrent = view.term > 0 && view.term === (leadership?.term ?? election.leader?.term);
   const isChanging = leadership?.viewChanged === true;
@@ -88,7 +88,7 @@
 }
 
 /** Removes a child whose connection has ended. */
-export function forgetChild(context: RouterContext, link: number): void {
+export function removeChild(context: RouterContext, link: number): void {
   const { children } = context.state.tree;
   const child = children.get(link);
   if (child !== undefined) {
--- a/src/router/tree/heartbeats.ts
+++ b/src/router/tree/heartbeats.ts
@@ -11,34 +11,34 @@
 import { type Child, isReporting } from './tree-state.js';
 
 /** Number of the leader's children that watch the store in addition to the leader. */
-const WATCHERS = 2;
+const STORE_WATCHERS = 2;
 /** A relay to which the store responded within this time is searching for the next leader and is not disconnected. */
-const STORE_ANSWER_PATIENCE: Milliseconds = 1_000;
+const RECENT_STORE_ANSWER: Milliseconds = 1_000;
 /** Maximum confirmation age that a relay forwards: a leader that resigns sends an unbounded one. */
-const LONGEST_AGE: Milliseconds = 3_000;
+const MAX_CONFIRMATION_AGE: Milliseconds = 3_000;
 
 /** Returns the children that watch the store: those connected longest, from different zones where possible. */
-export function chooseWatchers({ state, now }: RouterContext): string[] {
+export function chooseStoreWatchers({ state, now }: RouterContext): string[] {
   const { tree, identity } = state;
   const chosen: Child[] = [];
   // An unreachable watcher couldn't report a change that the leader missed.
   const children = [...tree.children.values()].filter((child) => isReporting(child, now));
   const isInNewZone = ({ zone }: Child): boolean =>
     zone !== identity.zone && chosen.every((other) => other.zone !== zone);
-  while (chosen.length < Math.min(WATCHERS, children.length)) {
+  while (chosen.length < Math.min(STORE_WATCHERS, children.length)) {
     const remaining = children.filter((child) => !chosen.includes(child));
     chosen.push((remaining.find(isInNewZone) ?? remaining[0]) as Child);
   }
   return chosen.map(({ daemon }) => daemon);
 }
 
-function relayedHeartbeat(context: RouterContext): Heartbeat | null {
+function buildRelayedHeartbeat(context: RouterContext): Heartbeat | null {
   const { state, now } = context;
   const { election, isolation } = state;
   const { leader } = election;
   const heardAge = now - election.lastHeartbeatAt;
   const isConnected =
-    heardAge <= HEARTBEAT_PATIENCE || now - isolation.storeAnsweredAt <= STORE_ANSWER_PATIENCE;
+    heardAge <= HEARTBEAT_PATIENCE || now - isolation.storeAnsweredAt <= RECENT_STORE_ANSWER;
   if (leader === null || !Number.isFinite(heardAge) || !isConnected) {
     return null;
   }
@@ -49,7 +49,7 @@
     leaderLife: leader.life,
     leaderAddress: leader.address,
     heardAge: Math.round(heardAge),
-    confirmationAge: Math.min(LONGEST_AGE, election.confirmationAge),
+    confirmationAge: Math.min(MAX_CONFIRMATION_AGE, election.confirmationAge),
     leaderRevision: election.leaderRevision,
     newsAge: Math.round(newsAge(context)),
     daemons: state.daemons,
@@ -60,7 +60,7 @@
   };
 }
 
-function leaderHeartbeat(context: RouterContext): Heartbeat | null {
+function buildLeaderHeartbeat(context: RouterContext): Heartbeat | null {
   const { state, now } = context;
   const { leadership, identity } = state;
   if (leadership === null || now - leadership.confirmedAt > CONFIRMATION_VALIDITY) {
@@ -77,7 +77,7 @@
     leaderRevision: leadership.leaderRevision,
     newsAge: Math.round(newsAge(context)),
     daemons: state.daemons,
-    watchers: chooseWatchers(context),
+    watchers: chooseStoreWatchers(context),
     configurationVersion: state.configuration?.version ?? 0,
     serversRevision: state.newestServerRevision,
     evacuations: state.evacuations.statement(),
@@ -86,7 +86,7 @@
 
 /** Returns the heartbeat for the children, or null if this daemon has no recent information about a leader. */
 export function buildHeartbeat(context: RouterContext): Heartbeat | null {
-  return leaderHeartbeat(context) ?? relayedHeartbeat(context);
+  return buildLeaderHeartbeat(context) ?? buildRelayedHeartbeat(context);
 }
 
 /** Sends a heartbeat to all children when one is due. */
@@ -103,6 +103,6 @@
 }
 
 /** Makes the next heartbeat due now, for example after a change of leader. */
-export function hastenHeartbeat({ state, now }: RouterContext): void {
+export function sendHeartbeatSoon({ state, now }: RouterContext): void {
   state.tree.nextHeartbeatAt = now;
 }
--- a/src/router/tree/key-tally.ts
+++ b/src/router/tree/key-request-counts.ts
@@ -2,4 +2,4 @@
 import type { Key } from '../model/identifiers.js';
 
 /** Number of requests for each key. */
-export type KeyTally = Map<Key, number>;
+export type KeyRequestCounts = Map<Key, number>;
--- a/src/router/tree/parent.ts
+++ b/src/router/tree/parent.ts
@@ -4,16 +4,16 @@
 import { HEARTBEAT_PATIENCE } from '../ownership/ownership-timing.js';
 import type { Redirect } from '../peers/messages.js';
 import type { RouterContext } from '../router-context.js';
-import { isRelayed } from './tree-state.js';
+import { hasRelayParent } from './tree-state.js';
 
 /** Time within which a daemon that has left its relay receives a heartbeat from the leader, if there is one. */
-const LEADER_GRACE: Milliseconds = 400;
+const LEADER_GRACE_PERIOD: Milliseconds = 400;
 
 /** Connects to another parent, or disconnects if `address` is null. */
-export function follow(context: RouterContext, address: string | null): void {
+export function connectToParent(context: RouterContext, address: string | null): void {
   const { tree } = context.state;
   tree.parent = address;
-  tree.followedSince = context.now;
+  tree.parentSince = context.now;
   tree.watchers = [];
   context.emit({ kind: 'follow', address });
 }
@@ -25,9 +25,9 @@
     return;
   }
   context.log('relay_followed', { relay: address });
-  tree.parentHeardAt = context.now;
-  tree.wasRelayed = true;
-  follow(context, address);
+  tree.lastParentContactAt = context.now;
+  tree.wasRedirected = true;
+  connectToParent(context, address);
 }
 
 function returnToLeader(context: RouterContext, reason: string): void {
@@ -35,16 +35,16 @@
   const leader = election.leader?.address ?? null;
   context.log('relay_left', { relay: tree.parent, reason });
   tree.failedRelay = tree.parent ?? '';
-  tree.leaderGraceUntil = context.now + LEADER_GRACE;
-  follow(context, leader);
+  tree.leaderGraceUntil = context.now + LEADER_GRACE_PERIOD;
+  connectToParent(context, leader);
 }
 
 /** Leaves a relay that has become unresponsive. */
 export function tickParent(context: RouterContext): void {
   const { tree } = context.state;
   if (
-    isRelayed(context.state.tree, context.state.election.leader?.address) &&
-    context.now - tree.parentHeardAt > HEARTBEAT_PATIENCE
+    hasRelayParent(context.state.tree, context.state.election.leader?.address) &&
+    context.now - tree.lastParentContactAt > HEARTBEAT_PATIENCE
   ) {
     returnToLeader(context, 'silent');
   }
@@ -54,7 +54,7 @@
 export function receiveParentClosed(context: RouterContext, event: ParentLinkClosedEvent): void {
   if (
     event.address === context.state.tree.parent &&
-    isRelayed(context.state.tree, context.state.election.leader?.address)
+    hasRelayParent(context.state.tree, context.state.election.leader?.address)
   ) {
     returnToLeader(context, event.refused ? 'refused' : 'closed');
   }
--- a/src/router/tree/relay-choice.ts
+++ b/src/router/tree/relay-choice.ts
@@ -2,13 +2,13 @@
 import type { Child } from './tree-state.js';
 
 /** The leader redirects only when it has at least this many children: small deployments have no relays. */
-const FIRST_RELAYS = 12;
+const MIN_CHILDREN_TO_REDIRECT = 12;
 /** Relays in each zone, so that few updates cross zones and the loss of one relay is tolerated. */
 const RELAYS_PER_ZONE = 2;
 /** Maximum number of daemons in a relay's subtree including itself; 12 relays suffice for about 300 daemons. */
-const MOST_BELOW = 24;
+const MAX_DAEMONS_PER_RELAY = 24;
 
-function lightest(children: readonly Child[]): Child | undefined {
+function childWithFewestDaemons(children: readonly Child[]): Child | undefined {
   return children.reduce<Child | undefined>(
     (best, child) => (best === undefined || child.daemons < best.daemons ? child : best),
     undefined,
@@ -22,9 +22,12 @@
  */
 export function chooseRelay(children: readonly Child[], zone: string, failed: string): Child | undefined {
   const inZone = children.filter((child) => child.zone === zone);
-  if (children.length < FIRST_RELAYS || inZone.length < RELAYS_PER_ZONE) {
+  if (children.length < MIN_CHILDREN_TO_REDIRECT || inZone.length < RELAYS_PER_ZONE) {
     return undefined;
   }
-  const isEligible = (child: Child): boolean => child.daemons < MOST_BELOW && child.address !== failed;
-  return lightest(inZone.filter(isEligible)) ?? lightest(children.filter(isEligible));
+  const isEligible = (child: Child): boolean =>
+    child.daemons < MAX_DAEMONS_PER_RELAY && child.address !== failed;
+  return (
+    childWithFewestDaemons(inZone.filter(isEligible)) ?? childWithFewestDaemons(children.filter(isEligible))
+  );
 }
--- a/src/router/tree/reports.ts
+++ b/src/router/tree/reports.ts
@@ -3,28 +3,28 @@
 import { REPORT_INTERVAL } from '../ownership/ownership-timing.js';
 import type { KeySample, ServerTimes } from '../peers/messages.js';
 import type { RouterContext } from '../router-context.js';
-import type { KeyTally } from './key-tally.js';
-import { daemonsBelow } from './tree-state.js';
+import type { KeyRequestCounts } from './key-request-counts.js';
+import { countDescendants } from './tree-state.js';
 
 /** Minimum time between reports when one is sent early, for example because a server is overloaded. */
-const HASTENED_INTERVAL: Milliseconds = 150;
+const EARLY_REPORT_INTERVAL: Milliseconds = 150;
 /** Minimum time between early reports of a relay, so that an overload report reaches the leader in about 200 ms. */
-const HASTENED_RELAY_INTERVAL: Milliseconds = 50;
+const EARLY_RELAY_REPORT_INTERVAL: Milliseconds = 50;
 /** Report interval of a relay; short, since the reports that it forwards have already waited at its children. */
 const RELAY_REPORT_INTERVAL: Milliseconds = 250;
 /** Maximum number of keys of one service in a report; the most requested ones are reported. */
-const MOST_KEYS = 2_000;
+const MAX_REPORTED_KEYS = 2_000;
 
 /** Adds request counts of keys to those of their service. */
-export function tallyKeys(context: RouterContext, { service, keys, counts }: KeySample): void {
+export function addKeyRequestCounts(context: RouterContext, { service, keys, counts }: KeySample): void {
   const { keyTallies } = context.state;
-  const requestCounts: KeyTally = keyTallies.get(service) ?? new Map();
+  const requestCounts: KeyRequestCounts = keyTallies.get(service) ?? new Map();
   keys.forEach((key, index) => requestCounts.set(key, (requestCounts.get(key) ?? 0) + (counts[index] ?? 1)));
   keyTallies.set(service, requestCounts);
 }
 
 /** Returns and resets the response times of servers of keyed services in this daemon's subtree. The leader assigns keys by them. */
-export function takeTimes(context: RouterContext): ServerTimes[] {
+export function collectServerTimes(context: RouterContext): ServerTimes[] {
   const { servers, configuration, tree } = context.state;
   const times: ServerTimes[] = tree.times;
   tree.times = [];
@@ -41,36 +41,36 @@
   return times;
 }
 
-function toSample([service, requestCounts]: [ServiceName, KeyTally]): KeySample {
+function toKeySample([service, requestCounts]: [ServiceName, KeyRequestCounts]): KeySample {
   let entries = [...requestCounts];
-  if (entries.length > MOST_KEYS) {
-    entries = entries.sort(([, left], [, right]) => right - left).slice(0, MOST_KEYS);
+  if (entries.length > MAX_REPORTED_KEYS) {
+    entries = entries.sort(([, left], [, right]) => right - left).slice(0, MAX_REPORTED_KEYS);
   }
   return { service, keys: entries.map(([key]) => key), counts: entries.map(([, count]) => count) };
 }
 
 /** Returns and resets the request counts of keys. */
-export function takeKeySamples(context: RouterContext): KeySample[] {
-  const samples = [...context.state.keyTallies].map(toSample);
+export function collectKeySamples(context: RouterContext): KeySample[] {
+  const samples = [...context.state.keyTallies].map(toKeySample);
   context.state.keyTallies.clear();
   return samples;
 }
 
 /** Makes the next report due early, for example after missed updates. */
-export function hastenReport({ state }: RouterContext): void {
+export function sendReportSoon({ state }: RouterContext): void {
   const { election, tree } = state;
-  const interval = tree.children.size > 0 ? HASTENED_RELAY_INTERVAL : HASTENED_INTERVAL;
+  const interval = tree.children.size > 0 ? EARLY_RELAY_REPORT_INTERVAL : EARLY_REPORT_INTERVAL;
   election.nextReportAt = Math.min(election.nextReportAt, election.lastReportAt + interval);
 }
 
 /** Reports early that a server that owns keys is overloaded, so that the leader soon makes a new assignment plan. */
-export function noteOverload(context: RouterContext): void {
+export function reportOverload(context: RouterContext): void {
   context.state.tree.overloaded = true;
-  hastenReport(context);
+  sendReportSoon(context);
 }
 
 /** Makes the next report due now, so that a new parent learns at once which daemon has connected. */
-export function reportAtOnce(context: RouterContext): void {
+export function sendReportNow(context: RouterContext): void {
   context.state.election.nextReportAt = context.now;
 }
 
@@ -99,13 +99,13 @@
       serversRevision: state.newestServerRevision,
       serversPosition: state.serversRevision ?? 0,
       ownershipSequence: state.view.term === election.leader?.term ? state.view.sequence : 0,
-      daemons: 1 + daemonsBelow(state.tree, now),
+      daemons: 1 + countDescendants(state.tree, now),
       started,
       overloaded,
       failedRelay: tree.failedRelay,
       evacuations: state.evacuations.statement(),
-      samples: takeKeySamples(context),
-      times: takeTimes(context),
+      samples: collectKeySamples(context),
+      times: collectServerTimes(context),
       rests,
     },
   });
--- a/src/router/tree/tree-state.ts
+++ b/src/router/tree/tree-state.ts
@@ -21,11 +21,11 @@
 }
 
 /** Time without a report after which a child is treated as unreachable. */
-const CHILD_PATIENCE: Milliseconds = 4 * REPORT_INTERVAL;
+const CHILD_REPORT_TIMEOUT: Milliseconds = 4 * REPORT_INTERVAL;
 
 /** Returns whether a child still reports. If a child's machine loses power, nothing closes its connection. */
 export function isReporting({ lastReportAt }: Child, now: Milliseconds): boolean {
-  return now - lastReportAt < CHILD_PATIENCE;
+  return now - lastReportAt < CHILD_REPORT_TIMEOUT;
 }
 
 /** A daemon's position in the propagation tree, and the data for its next report. */
@@ -33,15 +33,15 @@
   /** Address of the parent, or null for none. */
   parent: string | null;
   /** When the daemon switched to the current parent. */
-  followedSince: Milliseconds;
+  parentSince: Milliseconds;
   /** The leader redirected this daemon to a relay, and no heartbeat has arrived directly from a leader since. */
-  wasRelayed: boolean;
+  wasRedirected: boolean;
   /** When the parent last sent a heartbeat or redirected this daemon. */
-  parentHeardAt: Milliseconds;
+  lastParentContactAt: Milliseconds;
   /** When the store last confirmed the parent's configuration and servers, by the heartbeats received. */
-  newsConfirmedAt: Milliseconds;
+  parentConfirmedAt: Milliseconds;
   /** Configuration and servers have been unconfirmed for longer than a change may take to be in force; this was logged. */
-  newsAreOld: boolean;
+  updatesAreStale: boolean;
   /** Time until which a daemon that has left its relay waits for a heartbeat from the leader. */
   leaderGraceUntil: Milliseconds;
   /** Address of the last relay that didn't answer, or empty. */
@@ -62,14 +62,14 @@
 }
 
 /** Returns the position of a daemon that knows no other daemon. */
-export function createTree(): TreeState {
+export function createTreeState(): TreeState {
   return {
     parent: null,
-    followedSince: 0,
-    wasRelayed: false,
-    parentHeardAt: Number.NEGATIVE_INFINITY,
-    newsConfirmedAt: Number.NEGATIVE_INFINITY,
-    newsAreOld: false,
+    parentSince: 0,
+    wasRedirected: false,
+    lastParentContactAt: Number.NEGATIVE_INFINITY,
+    parentConfirmedAt: Number.NEGATIVE_INFINITY,
+    updatesAreStale: false,
     leaderGraceUntil: Number.NEGATIVE_INFINITY,
     failedRelay: '',
     watchers: [],
@@ -83,7 +83,7 @@
 }
 
 /** Returns the number of descendants of this daemon whose branch still reports. */
-export function daemonsBelow({ children }: TreeState, now: Milliseconds): number {
+export function countDescendants({ children }: TreeState, now: Milliseconds): number {
   let daemons = 0;
   for (const child of children.values()) {
     daemons += isReporting(child, now) ? child.daemons : 0;
@@ -92,6 +92,6 @@
 }
 
 /** Returns whether the parent is a relay, and not the leader with the given address. */
-export function isRelayed({ parent }: TreeState, leaderAddress: string | undefined): boolean {
+export function hasRelayParent({ parent }: TreeState, leaderAddress: string | undefined): boolean {
   return parent !== null && parent !== leaderAddress;
 }
--- a/test/router-runtime/test-limits-admin.ts
+++ b/test/router-runtime/test-limits-admin.ts
@@ -20,7 +20,7 @@
 async function start(): Promise<string> {
   const { state } = new SingleDaemon();
   const now = PROCESS_CLOCK.now();
-  state.limits.read('s1', 3.2, now - 1, now);
+  state.limits.recordReading('s1', 3.2, now - 1, now);
   admin = createRouterAdmin(state, new RouterMetrics(state, new Map()), () => undefined);
   await new Promise<void>((resolve) => admin?.listen(0, '127.0.0.1', resolve));
   return `127.0.0.1:${(admin.address() as AddressInfo).port}`;
--- a/test/router/limits/test-permits.ts
+++ b/test/router/limits/test-permits.ts
@@ -3,8 +3,8 @@
 import type { LimitShare } from '../../../src/router/limits/limit-share.js';
 import { Permits } from '../../../src/router/limits/permits.js';
 
-const GRANTED: LimitShare = { rate: 3, daemons: 11, hasGrants: true };
-const EQUAL_SHARE: LimitShare = { ...GRANTED, hasGrants: false };
+const GRANTED: LimitShare = { rate: 3, daemons: 11, isLeaderGranting: true };
+const EQUAL_SHARE: LimitShare = { ...GRANTED, isLeaderGranting: false };
 
 function waitingRequest(
   holdUntil: number,
@@ -16,52 +16,52 @@
 describe('the permits of a daemon', () => {
   it('are awaited only by a request that can wait long enough', () => {
     const permits = new Permits(0);
-    expect(permits.placeFor(waitingRequest(1_100), GRANTED, 1_000)).toEqual('awaited');
-    expect(permits.placeFor(waitingRequest(1_010), GRANTED, 1_000)).toEqual('none');
+    expect(permits.sendPermissionFor(waitingRequest(1_100), GRANTED, 1_000)).toEqual('awaited');
+    expect(permits.sendPermissionFor(waitingRequest(1_010), GRANTED, 1_000)).toEqual('none');
   });
 
   it('are valid for one request each and for a short time', () => {
     const permits = new Permits(0);
-    permits.noteGranted(1, 1_000);
-    permits.noteGranted(2, 1_000);
-    permits.use(1_010);
+    permits.recordGranted(1, 1_000);
+    permits.recordGranted(2, 1_000);
+    permits.recordSend(1_010);
     expect(permits.count(1_010)).toEqual(1);
     expect(permits.count(1_400)).toEqual(0);
   });
 
   it('are returned by a request that was not sent', () => {
     const permits = new Permits(0);
-    permits.noteGranted(1, 1_000);
-    permits.use(1_010);
-    permits.giveBack(1_500);
-    expect(permits.placeFor(waitingRequest(1_500), GRANTED, 1_550)).toEqual('free');
+    permits.recordGranted(1, 1_000);
+    permits.recordSend(1_010);
+    permits.returnUnused(1_500);
+    expect(permits.sendPermissionFor(waitingRequest(1_500), GRANTED, 1_550)).toEqual('free');
   });
 
   it('are not requested before the time given in a denial, except by more urgent requests', () => {
     const permits = new Permits(0);
-    permits.noteDenied(1, 1, 400, 1_000);
-    expect(permits.placeFor(waitingRequest(1_300), GRANTED, 1_100)).toEqual('none');
-    expect(permits.placeFor(waitingRequest(1_300, 2), GRANTED, 1_100)).toEqual('none');
-    expect(permits.placeFor(waitingRequest(1_300, 0), GRANTED, 1_100)).toEqual('awaited');
-    expect(permits.placeFor(waitingRequest(1_500), GRANTED, 1_100)).toEqual('awaited');
-    expect(permits.untilPlace(1, GRANTED, 1_100)).toEqual(300);
+    permits.recordDenied(1, 1, 400, 1_000);
+    expect(permits.sendPermissionFor(waitingRequest(1_300), GRANTED, 1_100)).toEqual('none');
+    expect(permits.sendPermissionFor(waitingRequest(1_300, 2), GRANTED, 1_100)).toEqual('none');
+    expect(permits.sendPermissionFor(waitingRequest(1_300, 0), GRANTED, 1_100)).toEqual('awaited');
+    expect(permits.sendPermissionFor(waitingRequest(1_500), GRANTED, 1_100)).toEqual('awaited');
+    expect(permits.timeUntilPermission(1, GRANTED, 1_100)).toEqual(300);
   });
 
   it('are detected as overdue when no answer arrives in time', () => {
     const permits = new Permits(0);
-    permits.noteAsked(1, 100, 1_000);
-    expect(permits.isAsked(1)).toEqual(true);
-    expect(permits.takeOverdue(1_300)).toEqual(false);
-    expect(permits.takeOverdue(1_400)).toEqual(true);
-    expect(permits.isAsked(1)).toEqual(false);
+    permits.recordRequested(1, 100, 1_000);
+    expect(permits.isRequested(1)).toEqual(true);
+    expect(permits.removeOverdue(1_300)).toEqual(false);
+    expect(permits.removeOverdue(1_400)).toEqual(true);
+    expect(permits.isRequested(1)).toEqual(false);
   });
 
   it('are replaced by the send windows of an equal share if no leader grants them', () => {
     const permits = new Permits(0);
     let sent = 0;
     for (let now = 0; now < 52_300; now += 20) {
-      if (permits.placeFor(waitingRequest(now), EQUAL_SHARE, now) === 'free') {
-        permits.use(now);
+      if (permits.sendPermissionFor(waitingRequest(now), EQUAL_SHARE, now) === 'free') {
+        permits.recordSend(now);
         sent += 1;
       }
     }
@@ -71,7 +71,7 @@
 
   it('are discarded after a suspension', () => {
     const permits = new Permits(0);
-    permits.noteGranted(1, 1_000);
+    permits.recordGranted(1, 1_000);
     permits.clear();
     expect(permits.count(1_010)).toEqual(0);
   });
--- a/test/router/request/test-cold-admission.ts
+++ b/test/router/request/test-cold-admission.ts
@@ -3,7 +3,7 @@
 import { describe, it } from 'node:test';
 import { SeededRandom } from '../../../src/core/random.js';
 import { coldTurnInterval, meanColdRate } from '../../../src/router/request/cold-admission.js';
-import { Turns } from '../../../src/router/sharing/turns.js';
+import { SendWindows } from '../../../src/router/sharing/send-windows.js';
 
 /** Bound on the requests in a second: 1.5 times the 4.2 requests a second that a cold server can handle, plus 8. */
 const MAX_PER_SECOND = 14.3;
@@ -23,16 +23,16 @@
   const interval = coldTurnInterval(MAX_PER_SECOND, daemons);
   const sent: number[] = [];
   for (let daemon = 0; daemon < daemons; daemon += 1) {
-    let turns = new Turns(random.fraction());
+    let turns = new SendWindows(random.fraction());
     // Daemons learn of the server at different times, and their clocks are independent.
     const knownAt = random.fraction() * 500;
     const clock = random.fraction() * 1e6;
     for (let now = knownAt; now < DURATION; now += -Math.log(1 - random.fraction()) * (SECOND / demand)) {
       if (random.fraction() < 1 / (restartOneIn * demand)) {
-        turns = new Turns(random.fraction());
+        turns = new SendWindows(random.fraction());
       }
       if (turns.allows(interval, clock + now)) {
-        turns.use(clock + now);
+        turns.recordSend(clock + now);
         sent.push(now);
       }
     }
@@ -77,12 +77,12 @@
   });
 
   it('are one for each turn of a daemon, however many requests it has', () => {
-    const turns = new Turns(0);
+    const turns = new SendWindows(0);
     const interval = coldTurnInterval(MAX_PER_SECOND, 11);
     let sent = 0;
     for (let now = 0; now < interval; now += 5) {
       if (turns.allows(interval, now)) {
-        turns.use(now);
+        turns.recordSend(now);
         sent += 1;
       }
     }
--- a/test/router/request/test-server-eligibility.ts
+++ b/test/router/request/test-server-eligibility.ts
@@ -11,7 +11,7 @@
 } from '../../../src/router/request/server-eligibility.js';
 import { ServerLoad } from '../../../src/router/request/server-load.js';
 import { ServiceProfile } from '../../../src/router/request/service-profile.js';
-import { Turns } from '../../../src/router/sharing/turns.js';
+import { SendWindows } from '../../../src/router/sharing/send-windows.js';
 import { server } from '../support/single-daemon.js';
 
 const NOW = 10_000;
@@ -24,7 +24,7 @@
     server: server('s1'),
     load: new ServerLoad(new ServiceProfile(), 2, 11),
     coldUntil: NOW + 4_000,
-    coldTurns: new Turns(0.5),
+    coldTurns: new SendWindows(0.5),
     rest,
     drainingSince: null,
     permits: new Permits(0),
@@ -40,7 +40,7 @@
     toleratedFailures: 0,
     coldInterval: 60_000,
     maxInFlight: 5,
-    shareOf: () => (rate === null ? null : { rate, daemons: 11, hasGrants: true }),
+    shareOf: () => (rate === null ? null : { rate, daemons: 11, isLeaderGranting: true }),
     seeker: { id: 1, priority: 1, holdUntil: now + 100 },
   };
 }
@@ -62,9 +62,9 @@
 
   it('check last whether the rate limit leaves a permit in time', () => {
     const known = { ...ineligibleServer(), rest: new ServerRest(), coldUntil: 0 };
-    known.permits.noteDenied(1, 1, 500, NOW);
+    known.permits.recordDenied(1, 1, 500, NOW);
     expect(findIneligibility(known, checkInputs(NOW, 3))).toEqual('at_limit');
-    known.permits.noteGranted(2, NOW);
+    known.permits.recordGranted(2, NOW);
     expect(findIneligibility(known, checkInputs(NOW, 3))).toEqual(null);
   });
 });
--- a/test/router/request/test-server-load.ts
+++ b/test/router/request/test-server-load.ts
@@ -4,7 +4,7 @@
 import { SeededRandom } from '../../../src/core/random.js';
 import { ZoneEvacuations } from '../../../src/router/news/zone-evacuations.js';
 import { Permits } from '../../../src/router/limits/permits.js';
-import { Turns } from '../../../src/router/sharing/turns.js';
+import { SendWindows } from '../../../src/router/sharing/send-windows.js';
 import { ServerLoad } from '../../../src/router/request/server-load.js';
 import type { CandidateServer } from '../../../src/router/request/server-eligibility.js';
 import { selectServer } from '../../../src/router/request/server-selection.js';
@@ -21,7 +21,7 @@
     coldUntil: 0,
     drainingSince: null,
     rest: new ServerRest(),
-    coldTurns: new Turns(0),
+    coldTurns: new SendWindows(0),
     permits: new Permits(0),
   };
 }
--- a/test/router/tree/test-watchers.ts
+++ b/test/router/tree/test-watchers.ts
@@ -2,7 +2,7 @@
 import { describe, it } from 'node:test';
 import { RouterContext } from '../../../src/router/router-context.js';
 import { createRouterState, type RouterState } from '../../../src/router/router-state.js';
-import { chooseWatchers } from '../../../src/router/tree/heartbeats.js';
+import { chooseStoreWatchers } from '../../../src/router/tree/heartbeats.js';
 import type { Child } from '../../../src/router/tree/tree-state.js';
 import { BOUNDS } from '../support/bounds.js';
 
@@ -21,7 +21,7 @@
 }
 
 function watchers(children: readonly Child[]): string[] {
-  return chooseWatchers(new RouterContext(leaderWith(children), NOW));
+  return chooseStoreWatchers(new RouterContext(leaderWith(children), NOW));
 }
 
 describe('the choice of store watchers', () => {
