--- a/src/router/ownership/begin-leadership.ts
+++ b/src/router/ownership/begin-leadership.ts
@@ -1,4 +1,7 @@
-/** The first moment of a leadership: what is known of former leaders, and the units as they are found. */
+/**
+ * Start of a leadership: determines until when earlier leaders may act, and adopts the units of the stored
+ * table.
+ */
 import { RecentLimits } from '../limits/recent-limits.js';
 import { PermitBuckets } from '../limits/permit-buckets.js';
 import { RestReports } from '../notices/rest-reports.js';
@@ -13,10 +16,13 @@
 import { RecentPeak } from './recent-peak.js';
 import { unitName, type OwnershipTable, type Unit } from './ownership-table.js';
 
-/** As long as a retry window: what daemons that lost touch have spent counts until then. */
+/**
+ * Time for which a peak of the number of daemons counts. Equal to the retry window, since what disconnected
+ * daemons have spent counts until its end.
+ */
 const COUNT_MEMORY: Milliseconds = 10_000;
 
-/** Begins to lead with the table as it is in the store under this daemon's term. */
+/** Starts to lead with the table that is in the store under the term of this daemon. */
 export function beginLeadership(
   context: RouterContext,
   candidacy: Candidacy,
@@ -26,7 +32,7 @@
   const { state, now } = context;
   state.election.candidacy = null;
   state.counters.leaderships_won += 1;
-  const formerCallsEndAt = formerCallsEnd(context, candidacy, table);
+  const formerCallsEndAt = formerLeaderCallsEnd(context, candidacy, table);
   const leadership: Leadership = {
     term: candidacy.claim.term,
     leaderRevision: candidacy.revision,
@@ -75,19 +81,22 @@
   });
 }
 
-/** When earlier leaders have stopped calling servers. */
-function formerCallsEnd(context: RouterContext, candidacy: Candidacy, table: OwnershipTable): Milliseconds {
+/** Returns the time after which earlier leaders send no calls to servers. */
+function formerLeaderCallsEnd(context: RouterContext, candidacy: Candidacy, table: OwnershipTable): Milliseconds {
   if (table.units.length === 0) {
     return context.now;
   }
   if (candidacy.predecessorEnded) {
     return context.state.election.startedAt;
   }
-  // The last write of the leader before began before this daemon first saw its revision.
+  // The previous leader began its last write before this daemon first saw the revision of that write.
   return Math.max(context.now, candidacy.formerSeenAt + CONFIRMATION_VALIDITY);
 }
 
-/** A unit of the table that a new leader finds. The owner may hold it; it is renewed at once. */
+/**
+ * Returns the progress of a unit in the table that a new leader finds. The owner may hold the unit, which is
+ * renewed at once.
+ */
 function resumedProgress(unit: Unit, now: Milliseconds): UnitProgress {
   return {
     phase: unit.releasing === null ? 'held' : 'releasing',
--- a/src/router/ownership/candidacy.ts
+++ b/src/router/ownership/candidacy.ts
@@ -1,6 +1,6 @@
 /**
- * How a daemon comes to lead: it claims the leader's object by compare-and-swap, reads the ownership table, and claims
- * that too. Only with both does it lead.
+ * How a daemon becomes the leader: it claims the leader record by compare-and-swap, reads the ownership
+ * table, and claims the table in the same way. It leads only after both claims have succeeded.
  */
 import type { ObjectReadEvent, ObjectWrittenEvent } from '../events.js';
 import type { Milliseconds } from '../model/identifiers.js';
@@ -13,16 +13,16 @@
 import { CONFIRMATION_VALIDITY } from './ownership-timing.js';
 import { parseLeader, parseOwnership, type LeaderRecord, type OwnershipRecord } from './stored-objects.js';
 
-/** A step of a candidacy without an answer is tried again after this long. */
+/** Delay before the retry of a candidacy step without an answer. */
 const STEP_RETRY: Milliseconds = 250;
-/** Before the table was read. */
+/** Fields of a candidacy before the table has been read. */
 const NOTHING_READ = {
   table: EMPTY_TABLE,
   tableRevision: null,
   stepAt: Number.POSITIVE_INFINITY,
 } as const;
 
-/** Claims the leader's object, unless this daemon stops or claims already. */
+/** Claims the leader record, unless this daemon is stopping or has a candidacy already. */
 export function considerClaim(context: RouterContext, former: LeaderRecord | null, revision: number): void {
   const { state, now } = context;
   if (state.stopping || state.election.candidacy !== null) {
@@ -31,7 +31,7 @@
   const { daemon, life, peerAddress } = state.identity;
   const term = (former?.term ?? 0) + 1;
   const claim = { term, daemon, life, address: peerAddress, beat: 0, settled: false, resigned: false };
-  // Its own earlier life has ended, and no leader before that one can still act.
+  // This daemon's earlier incarnation has ended, and no leader before that one can still act.
   const predecessorEnded = former?.daemon === daemon && former.settled;
   const formerStopped = former?.resigned === true && former.settled;
   const formerSeenAt = formerStopped ? now - CONFIRMATION_VALIDITY : state.election.unchangedSince;
@@ -54,7 +54,7 @@
   context.emit({ kind: 'writeObject', object: 'leader', value: candidacy.claim, revision });
 }
 
-/** Repeats a step without an answer, and ends a candidacy that takes too long. */
+/** Retries a step without an answer, and ends a candidacy that takes too long. */
 export function tickCandidacy(context: RouterContext, candidacy: Candidacy): void {
   if (context.now - candidacy.confirmedAt > CONFIRMATION_VALIDITY / 2) {
     dropCandidacy(context, 'the store did not answer in time');
@@ -63,7 +63,7 @@
   }
 }
 
-/** Ends a candidacy, if one is under way. */
+/** Ends the candidacy, if there is one. */
 export function dropCandidacy(context: RouterContext, reason: string): void {
   const { election } = context.state;
   if (election.candidacy !== null) {
@@ -74,7 +74,7 @@
   }
 }
 
-/** The write of the leader's object by a candidate ended. */
+/** Handles the outcome of the write that claims the leader record. */
 export function receiveClaimWritten(context: RouterContext, event: ObjectWrittenEvent): void {
   const { candidacy } = context.state.election;
   if (candidacy?.phase !== 'claiming') {
@@ -97,10 +97,10 @@
     }
     return;
   }
-  dropCandidacy(context, `the claim was ${outcome.kind}: ${outcome.reason}`);
+  dropCandidacy(context, `the write of the leader record ended as ${outcome.kind}: ${outcome.reason}`);
 }
 
-/** The leader's object names this daemon: the table is next. */
+/** Continues a candidacy with the table, after the leader record names this daemon. */
 export function enterTable(
   context: RouterContext,
   claim: LeaderRecord,
@@ -131,7 +131,7 @@
   context.emit({ kind: 'readObject', object: 'ownership' });
 }
 
-/** The table was read: this daemon puts its own term on it. */
+/** Claims the table that was read, by writing it with the term of this daemon. */
 export function claimTable(
   context: RouterContext,
   candidacy: Candidacy,
@@ -163,7 +163,7 @@
   context.emit({ kind: 'writeObject', object: 'ownership', value, revision: candidacy.tableRevision });
 }
 
-/** The write of the table by a candidate ended. */
+/** Handles the outcome of the write that claims the table. */
 export function receiveTableClaimed(context: RouterContext, event: ObjectWrittenEvent): void {
   const { candidacy } = context.state.election;
   if (candidacy?.phase !== 'claimingTable') {
@@ -175,7 +175,8 @@
     return;
   }
   if (outcome.kind !== 'conflict') {
-    // The same content on the same revision: whichever try lands first, the other meets its write id.
+    // All attempts write the same content on the same revision: if one succeeds, the others find its write
+    // id.
     candidacy.stepAt = context.now + STEP_RETRY;
     return;
   }
@@ -184,7 +185,7 @@
     beginLeadership(context, candidacy, record.table, outcome.revision);
     return;
   }
-  // The leader before wrote in between: its table counts.
+  // The previous leader wrote a newer table in the meantime, which must be claimed instead.
   candidacy.phase = 'readingTable';
   context.emit({ kind: 'readObject', object: 'ownership' });
 }
--- a/src/router/ownership/doubted-units.ts
+++ b/src/router/ownership/doubted-units.ts
@@ -1,22 +1,22 @@
 /**
- * Units whose owner has just turned a request away: it does not hold them, whatever the view says. For a moment no further
- * request is sent there: each would be turned away as well, and count as a retry.
+ * Units whose owner has just rejected a request because it does not hold them, whatever the view says. For a
+ * short time no further request is sent there, since it would be rejected as well and count as a retry.
  */
 import type { Fence, Milliseconds } from '../model/identifiers.js';
 
-/** A grant is on its way for about this long. */
+/** Approximate time that a grant needs to reach its server. */
 const DOUBT: Milliseconds = 200;
 
-/** Kept by the fence of each unit: a unit that has moved has another one. */
+/** Units are identified by their fence, since a unit that has moved has another one. */
 export class DoubtedUnits {
   readonly #until = new Map<Fence, Milliseconds>();
 
-  /** The owner turned a request away. */
+  /** Records that the owner of a unit rejected a request. */
   add(fence: Fence, now: Milliseconds): void {
     this.#until.set(fence, now + DOUBT);
   }
 
-  /** Whether a request would most likely be turned away. */
+  /** Returns whether the owner would most likely reject a request. */
   has(fence: Fence, now: Milliseconds): boolean {
     const until = this.#until.get(fence);
     if (until === undefined || now < until) {
--- a/src/router/ownership/election-state.ts
+++ b/src/router/ownership/election-state.ts
@@ -1,58 +1,64 @@
-/** What a daemon knows of the leader, and how far its own candidacy is. */
+/** What a daemon knows about the leader, and the progress of its own candidacy. */
 import type { Milliseconds } from '../model/identifiers.js';
 import type { OwnershipTable } from './ownership-table.js';
 import type { LeaderRecord } from './stored-objects.js';
 
-/** Steps of a daemon that wants to lead. */
+/** Steps of a candidacy: claim the leader record, read the ownership table, and claim the table. */
 export type CandidacyPhase = 'claiming' | 'readingTable' | 'claimingTable';
 
 export interface Candidacy {
   phase: CandidacyPhase;
   readonly claim: LeaderRecord;
-  /** Revision of the leader's object once it names this daemon. */
+  /** Revision of the leader record once it names this daemon. */
   revision: number;
-  /** When the write or read that showed this daemon as the leader was sent. */
+  /** Time at which the write or read that showed this daemon as the leader was sent. */
   confirmedAt: Milliseconds;
-  /** The leader before had ended for certain before this daemon started. */
+  /** The previous leader had certainly ended before this daemon started. */
   readonly predecessorEnded: boolean;
-  /** When this daemon first saw the revision that it replaces: the leader before wrote nothing later. */
+  /**
+   * Time at which this daemon first saw the revision that it replaces. The previous leader has written
+   * nothing later.
+   */
   readonly formerSeenAt: Milliseconds;
-  /** The leader that is replaced. */
+  /** The leader that this daemon replaces; null if there is none. */
   readonly former: LeaderRecord | null;
-  /** The table that is claimed, and the revision that it replaces (null: there is none). */
+  /** The table that is claimed, and the revision that the claim replaces (null if there is none). */
   table: OwnershipTable;
   tableRevision: number | null;
-  /** The step under way is tried again at this time. */
+  /** Time of the next attempt at the current step. */
   stepAt: Milliseconds;
 }
 
 export interface ElectionState {
-  /** As last read from the store. */
+  /** The leader as last read from the store or announced by another daemon. */
   leader: LeaderRecord | null;
   leaderRevision: number;
-  /** When the leader's object was first read with this revision. */
+  /** Time at which this daemon first learned of this revision of the leader record. */
   unchangedSince: Milliseconds;
   lastHeartbeatAt: Milliseconds;
-  /** Age of the leader's confirmation, as its last heartbeat said. */
+  /** Age of the leader's last confirmation, according to its last heartbeat. */
   confirmationAge: Milliseconds;
   reading: boolean;
-  /** Reads of the leader's object that failed since the last one that did not. */
+  /** Consecutive failed reads of the leader record. */
   failedReads: number;
   nextReadAt: Milliseconds;
-  /** Nothing listens at the leader's address. */
+  /** Consecutive refused connections to the address of the leader. */
   leaderRefused: number;
   candidacy: Candidacy | null;
   lastReportAt: Milliseconds;
   nextReportAt: Milliseconds;
-  /** When this daemon started, by its first event. */
+  /** Time of the first event of this daemon, or -1 before it. */
   startedAt: Milliseconds;
   nextTableReadAt: Milliseconds;
   readingTable: boolean;
-  /** Drawn anew for each wait, so that daemons do not stand at the same moment. */
+  /**
+   * Random delay of this daemon, so that daemons do not read the store or claim the leadership at the same
+   * moment.
+   */
   jitter: Milliseconds;
 }
 
-/** The state of a daemon that has heard of no leader. */
+/** Returns the state of a daemon that knows of no leader. */
 export function createElection(): ElectionState {
   return {
     leader: null,
--- a/src/router/ownership/election.ts
+++ b/src/router/ownership/election.ts
@@ -1,6 +1,6 @@
 /**
- * Looks after the leader. A daemon that hears no heartbeat of it watches the leader's object in the store; when the leader
- * has not confirmed itself there either, it claims that object (candidacy.ts).
+ * Monitors the leader. A daemon that receives no heartbeat reads the leader record in the store; if the
+ * leader has not confirmed its leadership there either, the daemon claims that record (candidacy.ts).
  */
 import type { ObjectReadEvent, ParentLinkClosedEvent } from '../events.js';
 import type { Milliseconds } from '../model/identifiers.js';
@@ -15,76 +15,111 @@
 import { OwnershipView } from './ownership-view.js';
 import { parseLeader, parseOwnership } from './stored-objects.js';
 
-/** A leader that heartbeats but has not confirmed itself for this long is watched in the store. */
+/** The leader record is read from the store when heartbeats report a confirmation older than this. */
 const CONFIRMATION_SUSPICION: Milliseconds = 3_000;
-/** The same for a daemon that follows the store itself: a confirmation and a half of a prompt store. */
+/**
+ * The same limit for a daemon that polls the store itself: one and a half confirmations while the store
+ * answers promptly.
+ */
 const WATCHER_SUSPICION: Milliseconds = 1_800;
 const LONGEST_JITTER: Milliseconds = 150;
-/** Refused connections after which the leader's process counts as gone. */
+/** Consecutive refused connections after which the process of the leader counts as ended. */
 const REFUSALS = 3;
-/** A daemon that has just started most likely does so with others: one refused connection is enough. */
+/**
+ * A daemon that has just started most likely did so together with others, so one refused connection is enough
+ * in this period.
+ */
 const FRESH_PERIOD: Milliseconds = 2_000;
 const REFUSALS_WHEN_FRESH = 1;
-/** Without a leader for this long a daemon reads the table: the next leader tells it otherwise. */
+/**
+ * A daemon without a leader reads the ownership table from the store only after this long, since the next
+ * leader usually sends it earlier.
+ */
 const TABLE_PATIENCE: Milliseconds = 800;
-/** Without news of the leader, a follower reads the table this often. */
+/** Interval at which a follower without updates from the leader reads the ownership table. */
 const TABLE_READ_INTERVAL: Milliseconds = 1_000;
 
-/** Below a relay that is heard, the leader may be silent for this long: the relay looks for the next one. */
+/**
+ * Heartbeat timeout of the leader for a daemon that still receives heartbeats from a relay: the relay looks
+ * for the next leader.
+ */
 const RELAYED_PATIENCE: Milliseconds = 3_000;
-/** The table is not read this soon after the first start of a deployment: a parent sends its view within a few ms. */
+/**
+ * Delay of the first table read after the first start of a deployment, since a parent sends its view within a
+ * few milliseconds.
+ */
 const FIRST_TABLE_READ: Milliseconds = 500;
-/** Daemons below relays poll the store less often the more daemons there are: an interval for so many, up to the most. */
+/**
+ * Daemons below relays poll the store less often the more daemons there are: the interval is multiplied by
+ * the number of daemons divided by DAEMONS_PER_POLL_INTERVAL, up to MAX_POLLING_FACTOR.
+ */
 const DAEMONS_PER_INTERVAL = 30;
 const MOST_INTERVALS = 6;
-/** A read that fails is repeated after ever longer, up to this: the first of many daemons to succeed tells others. */
+/**
+ * The interval between failed reads grows by this factor, up to MAX_READ_INTERVAL. Of many daemons, the first
+ * one whose read succeeds informs the others.
+ */
 const READ_GROWTH = 1.5;
 const LONGEST_READ_INTERVAL: Milliseconds = 1_000;
-/** A machine with this power (in cores) bears the leadership; weaker ones let others claim it first for up to this long. */
+/**
+ * A machine with at least this processor power (in cores) can carry the leadership; weaker ones delay their
+ * claim by up to MAX_CLAIM_DELAY.
+ */
 const SUFFICIENT_POWER = 0.5;
 const LONGEST_HANDICAP: Milliseconds = 200;
 
-/** Those that follow the store beside the leader look first: the others need not ask when these take over. */
-function suspicionOf({ tree, identity }: RouterState): Milliseconds {
+/**
+ * Returns the age from which the confirmation of the leader is checked in the store. Daemons that poll the
+ * store beside the leader check first, so that the others need not ask when one of them takes over.
+ */
+function maxConfirmationAgeOf({ tree, identity }: RouterState): Milliseconds {
   return tree.watchers.includes(identity.daemon) ? WATCHER_SUSPICION : CONFIRMATION_SUSPICION;
 }
 
-function hearsLeader({ state, now }: RouterContext): boolean {
+function isLeaderResponsive({ state, now }: RouterContext): boolean {
   const { election, tree } = state;
   if (now < tree.leaderGraceUntil) {
     return true;
   }
-  const relayIsHeard =
+  const isRelayResponsive =
     isRelayed(tree, state.election.leader?.address) && now - tree.parentHeardAt <= HEARTBEAT_PATIENCE;
-  const patience = relayIsHeard ? RELAYED_PATIENCE : HEARTBEAT_PATIENCE;
-  const silent = now - election.lastHeartbeatAt > patience;
-  // A relay that is heard watches the leader's confirmations itself.
-  return !silent && (relayIsHeard || election.confirmationAge < suspicionOf(state));
+  const timeout = isRelayResponsive ? RELAYED_PATIENCE : HEARTBEAT_PATIENCE;
+  const isOverdue = now - election.lastHeartbeatAt > timeout;
+  // A relay that sends heartbeats checks the confirmations of the leader itself.
+  return !isOverdue && (isRelayResponsive || election.confirmationAge < maxConfirmationAgeOf(state));
 }
 
-/** How many times as long as a child of the leader this daemon waits between two looks into the store. */
+/** Returns the ratio of this daemon's polling interval to that of a child of the leader. */
 function pollingFactor({ tree, daemons }: RouterState): number {
   return tree.wasRelayed ? Math.min(MOST_INTERVALS, Math.max(1, daemons / DAEMONS_PER_INTERVAL)) : 1;
 }
 
-/** Until the next read of the leader's object: a store that refuses is asked ever more seldom, since that is paid for. */
+/**
+ * Returns the interval until the next read of the leader record. The interval grows while the store refuses
+ * requests, since refused requests are paid for, too.
+ */
 function readInterval(state: RouterState): Milliseconds {
   const interval = ELECTION_READ_INTERVAL * READ_GROWTH ** state.election.failedReads;
   return Math.min(LONGEST_READ_INTERVAL, interval) * pollingFactor(state);
 }
 
-/** How long this daemon lets stronger ones claim the leadership first. */
-function handicapOf({ bounds }: RouterState): Milliseconds {
+/**
+ * Returns how long this daemon delays its claim, so that more powerful machines can claim the leadership
+ * first.
+ */
+function claimDelayOf({ bounds }: RouterState): Milliseconds {
   return LONGEST_HANDICAP * Math.max(0, 1 - bounds.processorPower / SUFFICIENT_POWER);
 }
 
-/** Refused connections that this daemon waits for now. */
-function refusalsNeeded(context: RouterContext): number {
-  const isFresh = context.now - context.state.election.startedAt < FRESH_PERIOD;
-  return isFresh ? REFUSALS_WHEN_FRESH : REFUSALS;
+/**
+ * Returns the number of refused connections after which the process of the leader currently counts as ended.
+ */
+function refusalLimit(context: RouterContext): number {
+  const hasJustStarted = context.now - context.state.election.startedAt < FRESH_PERIOD;
+  return hasJustStarted ? REFUSALS_WHEN_FRESH : REFUSALS;
 }
 
-/** A daemon that does not lead looks after the leader. */
+/** Monitors the leader on a daemon that does not lead. */
 export function tickElection(context: RouterContext): void {
   const { state, now } = context;
   const { election } = state;
@@ -98,8 +133,9 @@
     tickCandidacy(context, election.candidacy);
     return;
   }
-  if (hearsLeader(context)) {
-    // Once it is not heard any more, daemons read one after the other: the first ones to know tell the others.
+  if (isLeaderResponsive(context)) {
+    // After the last heartbeat, the jitter makes daemons read one after the other, so that the first ones can
+    // inform the others.
     election.nextReadAt = now + election.jitter;
     election.nextTableReadAt = now + TABLE_PATIENCE;
     return;
@@ -109,11 +145,11 @@
     election.nextReadAt = now + readInterval(state);
     context.emit({ kind: 'readObject', object: 'leader' });
   }
-  readTableAlone(context);
+  readTableFromStore(context);
 }
 
-/** A follower that is cut off from the leader takes ownership from the store. */
-function readTableAlone(context: RouterContext): void {
+/** Reads the ownership table from the store on a follower that is cut off from the leader. */
+function readTableFromStore(context: RouterContext): void {
   const { election } = context.state;
   if (!election.readingTable && election.failedReads === 0 && context.now >= election.nextTableReadAt) {
     election.readingTable = true;
@@ -122,10 +158,12 @@
   }
 }
 
-/** Nobody has ever led: the first to claim does, and stronger machines are let go first. */
-function claimFirst(context: RouterContext): void {
+/**
+ * Claims the leadership when no daemon has ever led. The delay lets more powerful machines claim it first.
+ */
+function claimInitialLeadership(context: RouterContext): void {
   const { state, now } = context;
-  const mayClaimAt = state.election.startedAt + handicapOf(state);
+  const mayClaimAt = state.election.startedAt + claimDelayOf(state);
   if (now < mayClaimAt) {
     state.election.nextReadAt = mayClaimAt;
   } else {
@@ -133,7 +171,7 @@
   }
 }
 
-/** The leader's object was read by a daemon that does not lead. */
+/** Handles a read of the leader record by a daemon that does not lead. */
 export function receiveLeaderObject(context: RouterContext, event: ObjectReadEvent): void {
   const { state, now } = context;
   const { election } = state;
@@ -145,7 +183,7 @@
   election.failedReads = 0;
   state.isolation.storeAnsweredAt = now;
   if (event.outcome.kind === 'absent') {
-    claimFirst(context);
+    claimInitialLeadership(context);
     return;
   }
   const record = parseLeader(event.outcome.value);
@@ -156,25 +194,25 @@
     return;
   }
   if (record.life === state.identity.life) {
-    // A record of its own that it has resigned by is no leadership to take up again.
+    // A record of this daemon itself resumes its leadership, unless the daemon resigned with it.
     if (!record.resigned) {
       enterTable(context, record, revision, event.sentAt, false);
     }
     return;
   }
   noteLeader(context, record, revision);
-  const patience = TAKEOVER_PATIENCE + election.jitter + handicapOf(state);
-  const unconfirmed = event.sentAt - election.unchangedSince >= patience;
+  const takeoverTimeout = TAKEOVER_PATIENCE + election.jitter + claimDelayOf(state);
+  const unconfirmed = event.sentAt - election.unchangedSince >= takeoverTimeout;
   const wasThisDaemon = record.daemon === state.identity.daemon;
-  const gone = election.leaderRefused >= refusalsNeeded(context);
-  if (!hearsLeader(context) && (unconfirmed || wasThisDaemon || gone || record.resigned)) {
+  const hasEnded = election.leaderRefused >= refusalLimit(context);
+  if (!isLeaderResponsive(context) && (unconfirmed || wasThisDaemon || hasEnded || record.resigned)) {
     considerClaim(context, record, revision);
   } else if (now >= election.nextReadAt) {
     election.nextReadAt = now + readInterval(state);
   }
 }
 
-/** The ownership object was read by a daemon that does not lead yet. */
+/** Handles a read of the ownership record by a daemon that does not lead yet. */
 export function receiveOwnershipObject(context: RouterContext, event: ObjectReadEvent): void {
   const { state } = context;
   const { election } = state;
@@ -201,14 +239,17 @@
   }
 }
 
-/** The connection to the parent ended; whether it was the leader is seen by the address. */
+/**
+ * Handles the end of the connection to the parent. The parent is the leader if it has the address of the
+ * leader.
+ */
 export function noteLeaderUnreachable(context: RouterContext, event: ParentLinkClosedEvent): void {
   const { election } = context.state;
   if (event.address !== election.leader?.address) {
     return;
   }
   election.leaderRefused = event.refused ? election.leaderRefused + 1 : 0;
-  if (event.refused && election.leaderRefused >= refusalsNeeded(context)) {
+  if (event.refused && election.leaderRefused >= refusalLimit(context)) {
     election.nextReadAt = Math.min(election.nextReadAt, context.now + election.jitter);
     election.lastHeartbeatAt = Number.NEGATIVE_INFINITY;
   }
--- a/src/router/ownership/isolation-state.ts
+++ b/src/router/ownership/isolation-state.ts
@@ -1,17 +1,17 @@
-/** What a daemon that is cut off has met. */
+/** State of the detection that a daemon is cut off from updates of ownership. */
 import type { Milliseconds } from '../model/identifiers.js';
 
-/** What a daemon has met since it was cut off. */
+/** What a daemon has observed since it was cut off. */
 export interface Isolation {
-  /** When the store last answered a read of the leader's object. */
+  /** Time at which the store last answered a read of the leader record. */
   storeAnsweredAt: Milliseconds;
-  /** Owners that turned requests away while this daemon was cut off. */
+  /** Requests that owners rejected, while this daemon was cut off, because they did not hold the key. */
   turnedAway: number;
-  /** The view is old, and no newer one can be had for now. */
+  /** The view is stale, and no newer one can be obtained for now. */
   viewIsOld: boolean;
 }
 
-/** The state of a daemon that has just started. */
+/** Returns the state of a daemon that has just started. */
 export function createIsolation(): Isolation {
   return { storeAnsweredAt: Number.NEGATIVE_INFINITY, turnedAway: 0, viewIsOld: false };
 }
--- a/src/router/ownership/isolation.ts
+++ b/src/router/ownership/isolation.ts
@@ -1,15 +1,18 @@
 /**
- * Whether this daemon is cut off from all news of ownership, and what it believes has been shown to be old. Its callers
- * are better served by other daemons then, so it calls itself not ready until it hears again.
+ * Detects whether this daemon is cut off from all updates of ownership while its view has proved stale. Other
+ * daemons then serve its callers better, so it reports itself not ready until it receives updates again.
  */
 import type { Key, Milliseconds, ServiceName } from '../model/identifiers.js';
 import type { RouterContext } from '../router-context.js';
 import type { RouterState } from '../router-state.js';
 import { CONFIRMATION_VALIDITY } from './ownership-timing.js';
 
-/** Without a word from the leader and the store for this long, a daemon counts as cut off. */
+/**
+ * A daemon counts as cut off when it has received neither a heartbeat of the leader nor an answer of the
+ * store for this long.
+ */
 const ISOLATION_PATIENCE: Milliseconds = 1_500;
-/** Servers that turned requests for their keys away, after which the view counts as old. */
+/** Rejections by servers that do not hold the requested key, after which the view counts as stale. */
 const TURNED_AWAY_LIMIT = 3;
 
 function isCutOff(state: RouterState, now: Milliseconds): boolean {
@@ -20,7 +23,7 @@
   return state.election.leader !== null && now - heardAt > ISOLATION_PATIENCE;
 }
 
-/** An owner says that it does not hold a key that the view says it does. */
+/** Records that a server rejected a request because it does not hold a key that the view assigns to it. */
 export function noteTurnedAway(context: RouterContext, service: ServiceName, key: Key): void {
   const { state, now } = context;
   if (isCutOff(state, now)) {
@@ -33,17 +36,17 @@
   }
 }
 
-/** Looks whether news has come again, or the view is known to be old. */
+/** Updates whether the view is known to be stale. */
 export function tickIsolation(context: RouterContext): void {
   const { state, now } = context;
   const { isolation } = state;
   if (!isCutOff(state, now)) {
     isolation.turnedAway = 0;
   }
-  const viewIsOld = isolation.turnedAway >= TURNED_AWAY_LIMIT;
-  if (viewIsOld !== isolation.viewIsOld) {
-    isolation.viewIsOld = viewIsOld;
-    context.log(viewIsOld ? 'view_is_old' : 'view_is_fresh', {
+  const isStale = isolation.turnedAway >= TURNED_AWAY_LIMIT;
+  if (isStale !== isolation.viewIsOld) {
+    isolation.viewIsOld = isStale;
+    context.log(isStale ? 'view_is_old' : 'view_is_fresh', {
       term: state.view.term,
       sequence: state.view.sequence,
     });
--- a/src/router/ownership/key-load.ts
+++ b/src/router/ownership/key-load.ts
@@ -1,14 +1,17 @@
-/** Which keys of a service are asked for, from samples of all daemons; recent ones count more. */
+/**
+ * Estimates the request rates of the keys of a service from samples of all daemons, in which recent samples
+ * weigh more.
+ */
 import type { Key, Milliseconds, ServiceName } from '../model/identifiers.js';
 import type { KeySample } from '../peers/messages.js';
 
-/** A sample's weight falls by e in this time. */
+/** A sample's weight decays by a factor of e in this time. */
 const MEMORY: Milliseconds = 1_500;
 const LONGEST_KEPT: Milliseconds = 4_000;
 const MILLISECONDS_PER_SECOND = 1_000;
-/** Rates are worked out as if samples had come for at least this long. */
+/** Rates are computed as if samples had been collected for at least this long. */
 const SHORTEST_OBSERVED: Milliseconds = 300;
-/** Samples beyond this number make room, the oldest first. */
+/** If there are more samples than this, the oldest are dropped until half as many remain. */
 const MOST_SAMPLES = 20_000;
 
 interface Sample {
@@ -17,7 +20,7 @@
   readonly requests: number;
 }
 
-/** Requests a second for a key. */
+/** Requests per second for a key. */
 export interface KeyRate {
   readonly key: Key;
   readonly rate: number;
@@ -27,7 +30,7 @@
   #samples: Sample[] = [];
   #observedSince: Milliseconds | null = null;
 
-  /** Takes in keys that were asked for just now, and how often. */
+  /** Adds samples of keys that were requested just now, with their numbers of requests. */
   add({ keys, counts }: Pick<KeySample, 'keys' | 'counts'>, now: Milliseconds): void {
     this.#observedSince ??= now;
     keys.forEach((key, index) => this.#samples.push({ at: now, key, requests: counts[index] ?? 1 }));
@@ -36,20 +39,21 @@
     }
   }
 
-  /** Whether any key was asked for lately. */
+  /** Returns whether any key was requested recently. */
   isAskedFor(now: Milliseconds): boolean {
     const last = this.#samples.at(-1);
     return last !== undefined && now - last.at < LONGEST_KEPT;
   }
 
-  /** Keys that are asked for, in their order, each with its rate. */
+  /** Returns the requested keys in key order, each with its rate. */
   rates(now: Milliseconds): KeyRate[] {
     this.#samples = this.#samples.filter((sample) => now - sample.at < LONGEST_KEPT);
     const weights = new Map<Key, number>();
     for (const { at, key, requests } of this.#samples) {
       weights.set(key, (weights.get(key) ?? 0) + requests * Math.exp((at - now) / MEMORY));
     }
-    // Soon after the first sample the weights cannot have added up yet: that is made good.
+    // Soon after the first sample the weights have not reached their full sum yet, which the scale
+    // compensates.
     const observed = Math.max(SHORTEST_OBSERVED, now - (this.#observedSince ?? now));
     const scale = MILLISECONDS_PER_SECOND / (MEMORY * (1 - Math.exp(-observed / MEMORY)));
     return [...weights]
@@ -58,7 +62,7 @@
   }
 }
 
-/** The load of one service's keys, made when it is first needed. */
+/** Returns the load of a service's keys, created on first use. */
 export function keyLoadOf(holder: { keyLoad: Map<ServiceName, KeyLoad> }, service: ServiceName): KeyLoad {
   let load = holder.keyLoad.get(service);
   if (load === undefined) {
--- a/src/router/ownership/key-range.ts
+++ b/src/router/ownership/key-range.ts
@@ -2,23 +2,23 @@
 import type { Key } from '../model/identifiers.js';
 import type { KeyRate } from './key-load.js';
 
-/** Rates by key, in the order of keys, with sums that are quick to ask for. */
+/** Request rates by key, in key order, with prefix sums that make the total of a range fast. */
 export class KeyRates {
   readonly #rates: readonly KeyRate[];
-  /** The rate of all keys before each one. */
-  readonly #before: number[] = [];
+  /** For each key, the sum of the rates of all lower keys. */
+  readonly #prefixSums: number[] = [];
   #total = 0;
 
   constructor(rates: readonly KeyRate[]) {
     this.#rates = rates;
     for (const { rate } of rates) {
-      this.#before.push(this.#total);
+      this.#prefixSums.push(this.#total);
       this.#total += rate;
     }
   }
 
-  /** Index of the first key that is not below a key. */
-  #indexOf(key: Key): number {
+  /** Returns the index of the first key that is not below the given one. */
+  #lowerBound(key: Key): number {
     let low = 0;
     let high = this.#rates.length;
     while (low < high) {
@@ -32,36 +32,37 @@
     return low;
   }
 
-  /** The load on the keys of a range, its ends inside. */
+  /** Returns the load on the keys of a range, both ends included. */
   total(from: Key, to: Key): number {
-    const sumBefore = (index: number): number => this.#before[index] ?? this.#total;
-    return sumBefore(this.#indexOf(to + 1)) - sumBefore(this.#indexOf(from));
+    const sumBefore = (index: number): number => this.#prefixSums[index] ?? this.#total;
+    return sumBefore(this.#lowerBound(to + 1)) - sumBefore(this.#lowerBound(from));
   }
 
-  /** The keys of a range that are asked for. */
+  /** Returns the requested keys of a range with their rates. */
   within(from: Key, to: Key): readonly KeyRate[] {
-    return this.#rates.slice(this.#indexOf(from), this.#indexOf(to + 1));
+    return this.#rates.slice(this.#lowerBound(from), this.#lowerBound(to + 1));
   }
 }
 
 /** A range of keys and the load on them. */
 export interface KeyRange {
   readonly from: Key;
-  /** The last key, inside the range. */
+  /** The last key of the range, inclusive. */
   readonly to: Key;
   readonly rate: number;
 }
 
 /**
- * For each key that is asked for, the longest run of neighbours that ends there and carries no more than a rate:
- * the parts of a unit from which a plan chooses. A key with more than that by itself is in none of them.
+ * Yields, for each requested key, the longest run of adjacent requested keys that ends there and carries no
+ * more than `maxRate`: a plan chooses the part of a unit to move from these runs. A key with a higher rate of
+ * its own is in none of them.
  */
-export function* partsUpTo(rates: readonly KeyRate[], most: number): Generator<KeyRange> {
+export function* partsUpTo(rates: readonly KeyRate[], maxRate: number): Generator<KeyRange> {
   let sum = 0;
   let first = 0;
   for (const [last, { key, rate }] of rates.entries()) {
     sum += rate;
-    while (sum > most && first <= last) {
+    while (sum > maxRate && first <= last) {
       sum -= (rates[first] as KeyRate).rate;
       first += 1;
     }
--- a/src/router/ownership/known-leader.ts
+++ b/src/router/ownership/known-leader.ts
@@ -1,4 +1,4 @@
-/** Which daemon leads, as this one has read in the store or heard from its parent. */
+/** Which daemon leads, as read from the store or received from other daemons. */
 import { noteVersionsOf } from '../feed-lag.js';
 import { noteParentsNews } from '../news/news-age.js';
 import { takeEvacuations } from '../news/take-evacuations.js';
@@ -15,38 +15,38 @@
   return { term, leader: daemon, leaderLife: life, leaderAddress: address };
 }
 
-/** Tells the parent and the children who leads now. */
-function passOn(context: RouterContext, { term, leader, leaderLife, leaderAddress }: LeaderIdentity): void {
+/** Sends the identity of the leader to the parent and all children. */
+function sendLeaderNotice(context: RouterContext, { term, leader, leaderLife, leaderAddress }: LeaderIdentity): void {
   const message: LeaderNotice = { kind: 'leaderNotice', term, leader, leaderLife, leaderAddress };
   context.emit({ kind: 'sendToParent', message });
   context.emit({ kind: 'sendToChildren', link: null, message });
 }
 
-/** The leader's object names a leader. */
+/** Records the leader that was read from the store. */
 export function noteLeader(context: RouterContext, record: LeaderRecord, revision: number): void {
   const { election } = context.state;
-  const isOther = election.leader?.term !== record.term || election.leader.life !== record.life;
+  const isNewLeader = election.leader?.term !== record.term || election.leader.life !== record.life;
   if (revision !== election.leaderRevision) {
     election.unchangedSince = context.now;
   }
   election.leader = record;
   election.leaderRevision = revision;
-  if (isOther) {
+  if (isNewLeader) {
     const { term, daemon, address } = record;
     context.log('leader_seen', { term, leader: daemon, address, revision });
     election.leaderRefused = 0;
     if (!record.resigned) {
-      passOn(context, identityOf(record));
+      sendLeaderNotice(context, identityOf(record));
     }
     follow(context, address);
   }
 }
 
-/** Another daemon tells of a leader that this one has not heard of. */
-function adoptLeader(context: RouterContext, found: LeaderIdentity, revision: number): void {
+/** Adopts a leader that another daemon announced. */
+function adoptLeader(context: RouterContext, announced: LeaderIdentity, revision: number): void {
   const { election } = context.state;
-  const { term, leader, leaderLife, leaderAddress } = found;
-  const place = { term, daemon: leader, life: leaderLife, address: leaderAddress };
+  const { term, leader, leaderLife, leaderAddress } = announced;
+  const identity = { term, daemon: leader, life: leaderLife, address: leaderAddress };
   election.leader = { ...place, beat: 0, settled: false, resigned: false };
   election.leaderRevision = revision;
   election.unchangedSince = context.now;
@@ -57,8 +57,9 @@
 }
 
 /**
- * A neighbour has learned of another leader. A leader of an earlier term gives up; whoever has lost its parent follows the
- * new leader, and whoever hears its relay stays there.
+ * Handles the notice of a neighbour in the propagation tree that another daemon leads. A leader of an earlier
+ * term steps down. A daemon without heartbeats from a relay follows the new leader; one that receives them
+ * keeps its parent.
  */
 export function receiveLeaderNotice(context: RouterContext, notice: LeaderNotice): void {
   const { state } = context;
@@ -71,14 +72,14 @@
     stepDown(context, 'another daemon leads', null);
   }
   adoptLeader(context, notice, 0);
-  passOn(context, notice);
-  const hearsRelay = tree.wasRelayed && context.now - tree.parentHeardAt <= HEARTBEAT_PATIENCE;
-  if (!hearsRelay) {
+  sendLeaderNotice(context, notice);
+  const isRelayResponsive = tree.wasRelayed && context.now - tree.parentHeardAt <= HEARTBEAT_PATIENCE;
+  if (!isRelayResponsive) {
     follow(context, notice.leaderAddress);
   }
 }
 
-/** The parent's heartbeat came. */
+/** Handles a heartbeat of the parent. */
 export function receiveHeartbeat(context: RouterContext, heartbeat: Heartbeat): void {
   const { state, now } = context;
   const { election, tree } = state;
@@ -96,7 +97,7 @@
     election.lastHeartbeatAt = heardAt;
     election.confirmationAge = heartbeat.confirmationAge;
   }
-  noteConfirmedRevision(context, heartbeat);
+  recordConfirmedRevision(context, heartbeat);
   noteParentsNews(context, heartbeat.newsAge);
   election.leaderRefused = 0;
   setDaemons(state, heartbeat.daemons);
@@ -105,10 +106,11 @@
 }
 
 /**
- * The leader says which revision of its object it has confirmed. When the store still has that one after an outage,
- * the leader has written nothing since this heartbeat: a takeover need not watch the object anew.
+ * Records the revision of the leader record that the leader has confirmed. If the store still has this
+ * revision after an outage, the leader has written nothing since the heartbeat, so a takeover need not wait
+ * again for the record to stay unchanged.
  */
-function noteConfirmedRevision(context: RouterContext, { term, leaderRevision }: Heartbeat): void {
+function recordConfirmedRevision(context: RouterContext, { term, leaderRevision }: Heartbeat): void {
   const { election } = context.state;
   if (term === election.leader?.term && leaderRevision > election.leaderRevision) {
     election.leaderRevision = leaderRevision;
--- a/src/router/ownership/leader-confirmation.ts
+++ b/src/router/ownership/leader-confirmation.ts
@@ -8,11 +8,14 @@
 import { CONFIRMATION_INTERVAL } from './ownership-timing.js';
 import { parseLeader, type LeaderRecord } from './stored-objects.js';
 
-/** A refused write is repeated after this long, then ever more seldom: calls that are refused are paid for, too. */
+/**
+ * Delay before the first retry of a refused write. The delay grows with each retry, since refused requests
+ * are paid for, too.
+ */
 export const FIRST_REFUSED_RETRY: Milliseconds = 150;
 const LONGEST_REFUSED_RETRY: Milliseconds = 600;
 const REFUSED_RETRY_GROWTH = 1.5;
-/** Said as the age of the confirmation by a leader that stops. */
+/** Age of the confirmation that a leader announces when it resigns. */
 const RESIGNED_AGE: Milliseconds = 3_600_000;
 
 function ownRecord(context: RouterContext, leadership: Leadership): LeaderRecord {
@@ -22,7 +25,7 @@
   return { term, daemon, life, address: peerAddress, beat, settled, resigned: false };
 }
 
-/** Writes the leader's object anew when that is due. */
+/** Writes the leader record again when that is due. */
 export function confirmLeadership(context: RouterContext, leadership: Leadership): void {
   if (leadership.confirming || context.now < leadership.nextConfirmationAt) {
     return;
@@ -39,7 +42,7 @@
   return record?.term === leadership.term && record.life === context.state.identity.life;
 }
 
-/** The write that confirms the leadership ended. */
+/** Handles the outcome of a write that confirms the leadership. */
 export function receiveConfirmation(
   context: RouterContext,
   leadership: Leadership,
@@ -52,7 +55,8 @@
     leadership.refusedRetry = FIRST_REFUSED_RETRY;
     leadership.confirmedAt = Math.max(leadership.confirmedAt, event.sentAt);
   } else if (outcome.kind === 'conflict' && isOwn(context, leadership, outcome.value)) {
-    // An earlier write of this leader, whose answer was lost, is there: the next one confirms.
+    // The record is from an earlier write of this leader, whose answer was lost; the next write confirms the
+    // leadership.
     leadership.leaderRevision = outcome.revision;
     leadership.nextConfirmationAt = context.now;
   } else if (outcome.kind === 'conflict') {
@@ -67,7 +71,7 @@
   }
 }
 
-/** The leader's object was read, after a write without an answer. */
+/** Handles the read of the leader record that follows a write without an answer. */
 export function receiveLeaderRead(
   context: RouterContext,
   leadership: Leadership,
@@ -78,7 +82,8 @@
     return;
   }
   if (event.outcome.kind === 'found' && isOwn(context, leadership, event.outcome.value)) {
-    // Only a write confirms: a successor counts from the last one that it can have seen.
+    // Only a write confirms the leadership: the timeout of a successor runs from the last write that it can
+    // have seen.
     leadership.leaderRevision = event.outcome.revision;
     leadership.nextConfirmationAt = context.now;
     return;
@@ -86,7 +91,7 @@
   stepDown(context, 'another daemon leads', event.outcome.kind === 'found' ? event.outcome.value : null);
 }
 
-/** Gives the leadership up. Grants run out or are renewed by the successor. */
+/** Gives up the leadership. Granted leases expire or are renewed by the successor. */
 export function stepDown(context: RouterContext, reason: string, found: unknown): void {
   const { state } = context;
   if (state.leadership === null) {
@@ -98,7 +103,7 @@
   state.election.nextReadAt = context.now;
 }
 
-/** A planned stop: calls nobody from now on, and lets another daemon lead at once. */
+/** Resigns for a planned stop: sends no further calls to servers, and lets another daemon lead at once. */
 export function resign(context: RouterContext, leadership: Leadership): void {
   const value = { ...ownRecord(context, leadership), resigned: true };
   context.emit({ kind: 'writeObject', object: 'leader', value, revision: leadership.leaderRevision });
--- a/src/router/ownership/leader-intake.ts
+++ b/src/router/ownership/leader-intake.ts
@@ -1,4 +1,4 @@
-/** What the leader takes in of what it and all daemons below it have seen. */
+/** Aggregates at the leader the reports of what it and all daemons below it have observed. */
 import type { Milliseconds } from '../model/identifiers.js';
 import { setDaemons } from '../request/request-dispatch.js';
 import type { RouterContext } from '../router-context.js';
@@ -9,28 +9,31 @@
 import { noteFormerEnded } from './server-lease.js';
 import { ServerPace } from './server-pace.js';
 
-/** Between two looks at what has come in: a fifth of the time between two plans. */
+/** Interval between two aggregations of reports: a fifth of the interval between two plans. */
 const INTAKE_INTERVAL: Milliseconds = 100;
 
-/** Between two plans while owners have too much to do: a move takes about half of this, half of the time. */
+/**
+ * Interval between two plans while owners are overloaded. In half of the cases, a move takes about half of
+ * this time.
+ */
 const HASTENED_PLAN_INTERVAL: Milliseconds = 200;
 
-function takeLoad(context: RouterContext, leadership: Leadership): void {
+function aggregateLoad(context: RouterContext, leadership: Leadership): void {
   for (const sample of takeKeySamples(context)) {
     keyLoadOf(leadership, sample.service).add(sample, context.now);
   }
-  for (const seen of takeTimes(context)) {
-    let pace = leadership.paces.get(seen.server);
-    if (pace === undefined) {
-      pace = new ServerPace(context.now);
-      leadership.paces.set(seen.server, pace);
+  for (const times of takeTimes(context)) {
+    let estimator = leadership.paces.get(times.server);
+    if (estimator === undefined) {
+      estimator = new ServerPace(context.now);
+      leadership.paces.set(times.server, estimator);
     }
-    pace.add(seen);
+    estimator.add(times);
   }
 }
 
-/** The machine of the leader before runs another process now: the one that led has ended. */
-function noteStarted(context: RouterContext, leadership: Leadership): void {
+/** Records that the previous leader has ended, if its machine runs another incarnation of the daemon now. */
+function detectFormerLeaderRestart(context: RouterContext, leadership: Leadership): void {
   const { tree } = context.state;
   const { former } = leadership;
   const { started } = tree;
@@ -40,15 +43,15 @@
   }
 }
 
-/** Takes in what is due. */
+/** Aggregates the received reports when that is due. */
 export function tickIntake(context: RouterContext, leadership: Leadership): void {
   const { state, now } = context;
   if (now < leadership.nextIntakeAt) {
     return;
   }
   leadership.nextIntakeAt = now + INTAKE_INTERVAL;
-  takeLoad(context, leadership);
-  noteStarted(context, leadership);
+  aggregateLoad(context, leadership);
+  detectFormerLeaderRestart(context, leadership);
   state.tree.rests.forEach((rest) => leadership.rests.add(rest, now));
   state.tree.rests = [];
   if (state.tree.overloaded) {
--- a/src/router/ownership/leader-plan.ts
+++ b/src/router/ownership/leader-plan.ts
@@ -1,4 +1,4 @@
-/** Gathers what an assignment is planned from, and writes the plan. */
+/** Collects the input of the assignment plan and writes the resulting table. */
 import { LEAST_RATE } from '../limits/limit-share.js';
 import type { Milliseconds, ServerId, ServiceName } from '../model/identifiers.js';
 import type { RequestsPerSecond } from '../model/server-limit.js';
@@ -22,7 +22,10 @@
 
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** The lowest limit that a server has named lately: keys don't move to and fro with one that comes and goes. */
+/**
+ * Returns the lowest rate limit that a server has announced recently, so that a limit that comes and goes
+ * does not move keys back and forth.
+ */
 function recentLimit(
   { state, now }: RouterContext,
   { recentLimits }: Leadership,
@@ -31,39 +34,42 @@
   return recentLimits.lowest(server, state.limits.of(server), now);
 }
 
-function eligible(context: RouterContext, leadership: Leadership, known: KnownServer): boolean {
+function isEligible(context: RouterContext, leadership: Leadership, known: KnownServer): boolean {
   const { server, drainingSince } = known;
   const lease = leaseOf(leadership, server.id);
-  const isLeaving = drainingSince !== null || context.state.evacuations.has(server.zone);
-  const isResting = leadership.rests.isResting(server.id, context.state.daemons, context.now);
+  const isDraining = drainingSince !== null || context.state.evacuations.has(server.zone);
+  const isBackingOff = leadership.rests.isResting(server.id, context.state.daemons, context.now);
   const limit = recentLimit(context, leadership, server.id);
-  const takesAny = limit === null || limit >= LEAST_RATE;
-  return !isLeaving && !isResting && takesAny && !lease.silent && !lease.ended;
+  const acceptsRequests = limit === null || limit >= LEAST_RATE;
+  return !isDraining && !isBackingOff && acceptsRequests && !lease.silent && !lease.ended;
 }
 
-function describe(context: RouterContext, leadership: Leadership, known: KnownServer): EligibleServer {
+function toEligibleServer(context: RouterContext, leadership: Leadership, known: KnownServer): EligibleServer {
   const { id, zone, slots } = known.server;
-  const pace = leadership.paces.get(id);
-  pace?.judge(slots, context.now);
+  const estimator = leadership.paces.get(id);
+  estimator?.judge(slots, context.now);
   const workTime =
-    pace?.workTime ?? known.load.serviceTime * (known.coldUntil > context.now ? COLD_FACTOR : 1);
+    estimator?.workTime ?? known.load.serviceTime * (known.coldUntil > context.now ? COLD_FACTOR : 1);
   const limit = recentLimit(context, leadership, id) ?? Number.POSITIVE_INFINITY;
   return {
     id,
     zone,
-    // Keys whose requests a limit leaves no place for are better served by another owner.
+    // Keys whose requests exceed the rate limit are better served by another owner.
     room: { capacity: (slots * MILLISECONDS_PER_SECOND) / workTime, limit },
     isCold: known.coldUntil > context.now,
   };
 }
 
-function containing(units: readonly Unit[], part: Unit): Unit | undefined {
+function findContainingUnit(units: readonly Unit[], part: Unit): Unit | undefined {
   return units.find((unit) => unit.service === part.service && unit.from <= part.from && unit.to >= part.to);
 }
 
-/** How a unit may be moved now. A unit on its way stays until it is certain who may hold it. */
-function mobilityOf(leadership: Leadership, unit: Unit): Mobility | null {
-  const written = containing(leadership.table.units, unit);
+/**
+ * Returns the permission to move a unit now, or null while the unit must stay. A unit in transit stays until
+ * it is certain which server may hold it.
+ */
+function movePermissionOf(leadership: Leadership, unit: Unit): Mobility | null {
+  const written = findContainingUnit(leadership.table.units, unit);
   const progress = written === undefined ? undefined : leadership.progress.get(unitName(written));
   if (written === undefined || progress === undefined || written.owner !== unit.owner) {
     return null;
@@ -77,21 +83,23 @@
 function eligibleServers(context: RouterContext, leadership: Leadership, service: string): EligibleServer[] {
   const known: Map<ServerId, KnownServer> = context.state.serversByService.get(service) ?? new Map();
   return [...known.values()]
-    .filter((server) => eligible(context, leadership, server))
-    .map((server) => describe(context, leadership, server));
+    .filter((server) => isEligible(context, leadership, server))
+    .map((server) => toEligibleServer(context, leadership, server));
 }
 
-/** When the newest server of a service became known, or the start of the leadership if none is later. */
+/**
+ * Returns when the newest server of a service became known, but no earlier than the start of the leadership.
+ */
 function newestServerAt(context: RouterContext, leadership: Leadership, service: ServiceName): Milliseconds {
   const known = context.state.serversByService.get(service)?.values() ?? [];
   return Math.max(leadership.startedAt, ...[...known].map(({ knownSince }) => knownSince));
 }
 
 /**
- * Whether a service's first assignment had better wait. Servers appear one after the other when a deployment
- * starts: whoever is known first would own every key, and each key that moves on later costs.
+ * Returns whether the first assignment of a service should be delayed. Servers become known one after the
+ * other when a deployment starts: the first ones would own every key, and moving keys later has a cost.
  */
-function isTooEarly(context: RouterContext, leadership: Leadership, service: ServiceName): boolean {
+function isFirstAssignmentPremature(context: RouterContext, leadership: Leadership, service: ServiceName): boolean {
   if (leadership.table.units.some((unit) => unit.service === service)) {
     return false;
   }
@@ -104,13 +112,13 @@
   return !isAskedFor && !isQuiet && waited < FIRST_ASSIGNMENT_LONGEST_WAIT;
 }
 
-/** A unit that its owner holds, and answers for. */
-function mayJoin(leadership: Leadership, unit: Unit): boolean {
+/** Returns whether the owner of a unit holds it and answers calls. */
+function isMergeable(leadership: Leadership, unit: Unit): boolean {
   const held = leadership.progress.get(unitName(unit))?.phase === 'held';
   return held && leaseOf(leadership, unit.owner).unanswered === 0;
 }
 
-/** Works out who should own what, and writes it if it differs. */
+/** Plans the assignment of all keyed services, and writes the table if it changed. */
 export function makePlan(context: RouterContext, leadership: Leadership): void {
   const { state, now } = context;
   leadership.plannedAt = now;
@@ -120,18 +128,18 @@
   }
   let table = leadership.table;
   for (const service of state.configuration.services.values()) {
-    if (service.keyed && !isTooEarly(context, leadership, service.name)) {
+    if (service.keyed && !isFirstAssignmentPremature(context, leadership, service.name)) {
       table = planService(table, {
         service: service.name,
         servers: eligibleServers(context, leadership, service.name),
         rates: keyLoadOf(leadership, service.name).rates(now),
-        mobility: (unit) => mobilityOf(leadership, unit),
+        mobility: (unit) => movePermissionOf(leadership, unit),
       });
     }
   }
   if (table === leadership.table && now >= leadership.nextJoinAt) {
     leadership.nextJoinAt = now + JOIN_INTERVAL;
-    table = joinUnits(table, (unit) => mayJoin(leadership, unit));
+    table = joinUnits(table, (unit) => isMergeable(leadership, unit));
     table = withoutFinishedReleases(leadership, table);
   }
   if (table !== leadership.table) {
--- a/src/router/ownership/leader.ts
+++ b/src/router/ownership/leader.ts
@@ -1,7 +1,8 @@
 /**
- * The leader's work: confirm its leadership, write assignments, then carry them out at the servers. A unit
- * is granted only after its assignment is in the store, and only after its former owner has released it,
- * has ended, or is out of every lease. docs/design/ownership.md argues why that keeps one owner.
+ * Periodic work of the leader: it confirms its leadership, writes assignments to the store, and then carries
+ * them out at the servers. A unit is granted only after its assignment is in the store and its former owner
+ * has released it, has ended, or holds no lease any more. docs/design/ownership.md argues why this gives
+ * every key at most one owner.
  */
 import type { Milliseconds, ServerId } from '../model/identifiers.js';
 import { instanceOf } from '../model/server-life.js';
@@ -16,10 +17,13 @@
 import { retryWrite } from './table-write.js';
 import { raiseRefusedFences, tickUnit } from './unit-control.js';
 
-/** Between two statements of ownership: every daemon takes each of them in, so grants of a moment are told together. */
+/**
+ * Shortest interval between two broadcasts of ownership. Every daemon processes each broadcast, so grants
+ * that are close in time are sent together.
+ */
 const BROADCAST_INTERVAL: Milliseconds = 60;
 
-/** The leader's periodic work. */
+/** Does the leader's periodic work. */
 export function tickLeader(context: RouterContext, leadership: Leadership): void {
   confirmLeadership(context, leadership);
   tickIntake(context, leadership);
@@ -42,7 +46,10 @@
   }
 }
 
-/** Called when leadership begins and whenever the list of servers changes. */
+/**
+ * Records the listed servers and the successors of ended ones. Called when leadership begins and whenever the
+ * server list changes.
+ */
 export function noteServers(context: RouterContext, leadership: Leadership): void {
   const { servers, lives } = context.state;
   const listedAt = new Map<string, ServerId>();
@@ -50,8 +57,8 @@
     leadership.addresses.set(server.id, server.address);
     listedAt.set(server.address, server.id);
   }
-  for (const owner of ownersOf(leadership)) {
-    // An address passes on only after the server that had it has ended, and so does a name.
+  for (const owner of knownOwners(leadership)) {
+    // An address or a name is reused only after the server that had it has ended.
     const address = leadership.addresses.get(owner);
     const successor =
       lives.get(instanceOf(owner)) ?? (address === undefined ? undefined : listedAt.get(address));
@@ -64,8 +71,11 @@
   leadership.nextPlanAt = Math.min(leadership.nextPlanAt, context.now);
 }
 
-/** Servers that own keys, or must release some first, and those that were listed. */
-function ownersOf({ table, addresses }: Leadership): Set<ServerId> {
+/**
+ * Returns the servers that own keys or must release some first, and those that were listed during this
+ * leadership.
+ */
+function knownOwners({ table, addresses }: Leadership): Set<ServerId> {
   const owners = new Set(addresses.keys());
   for (const { owner, releasing } of table.units) {
     owners.add(owner);
--- a/src/router/ownership/leadership-state.ts
+++ b/src/router/ownership/leadership-state.ts
@@ -1,4 +1,6 @@
-/** What a leader knows besides what is in the store. Lost with the leader, and not missed. */
+/**
+ * State of the leader beyond what is in the store. It is lost with the leader; a successor does not need it.
+ */
 import type { Fence, Milliseconds, ServerId, ServiceName } from '../model/identifiers.js';
 import type { KeyLoad } from './key-load.js';
 import type { OwnershipTable } from './ownership-table.js';
@@ -9,50 +11,56 @@
 import type { PermitBuckets } from '../limits/permit-buckets.js';
 import type { LeaderRecord } from './stored-objects.js';
 
-/** Where a unit stands between its former owner and its owner. */
+/** Progress of a unit from its former owner to its owner. */
 export type UnitPhase = 'releasing' | 'granting' | 'held';
 
 export interface UnitProgress {
   phase: UnitPhase;
   readonly fence: Fence;
-  /** False while it is certain that the owner was never granted this unit. */
+  /** False while the owner has certainly never been granted this unit. */
   ownerMayHold: boolean;
-  /** The owner refused this fence: no call is made with it again, and a higher one is due. */
+  /** The owner refused this fence, which is used in no further call; a higher one must be assigned. */
   fenceRefused: boolean;
   handover: string | null;
-  /** The next call is due. */
+  /** Time at which the next call is due. */
   nextCallAt: Milliseconds;
   callsInFlight: number;
 }
 
-/** What a server may hold, and whether it answers. */
+/** Leases that a server may hold, and whether the server answers calls. */
 export interface ServerLease {
-  /** Every lease that was answered has run out after this time. */
+  /** Time after which the leases of all answered grants have expired. */
   holdsUntil: Milliseconds;
-  /** When the last grant without an answer was sent, and its lease. */
+  /** Time at which the last unanswered grant was sent, and the longest lease of the unanswered grants. */
   unansweredGrantAt: Milliseconds;
   unansweredLease: Milliseconds;
-  /** Calls without an answer since the last answer. */
+  /** Calls without an answer since the last answered one. */
   unanswered: number;
-  /** When the last call that stayed without an answer was sent. */
+  /** Time at which the last unanswered call was sent. */
   lastUnansweredAt: Milliseconds;
   nextProbeAt: Milliseconds;
   probeInFlight: boolean;
-  /** It does not answer: it gets no units. */
+  /** The server does not answer calls and is assigned no units. */
   silent: boolean;
-  /** The process has ended for certain: it is called no more. */
+  /** The process of the server has certainly ended, so it is not called any more. */
   ended: boolean;
-  /** What it held is free: whoever is at its address refuses calls that are meant for it. */
+  /**
+   * No process holds keys under the grants of the server: the one at its address refuses calls that are meant
+   * for it.
+   */
   heldByNobody: boolean;
-  /** Who has come after it, at its address or under its name, and may have taken renewals that were meant for it; null: nobody known. */
+  /**
+   * The server that followed at the address or under the name, and may have accepted renewals that were meant
+   * for this one; null if none is known.
+   */
   successor: ServerId | null;
 }
 
-/** A call to a server that is under way. */
+/** A call to a server that is in progress. */
 export interface PendingCall {
   readonly action: 'grant' | 'release' | 'probe';
   readonly server: ServerId;
-  /** Name of the unit. */
+  /** Name of the unit, as returned by unitName. */
   readonly unit: string;
   readonly fence: Fence;
   readonly lease: Milliseconds;
@@ -62,54 +70,57 @@
 export interface TableWrite {
   readonly table: OwnershipTable;
   readonly writeId: string;
-  /** The answer was lost: the object is read, then written again. */
+  /**
+   * Time of the next attempt after the write failed or its answer was lost; null while an attempt is in
+   * progress.
+   */
   retryAt: Milliseconds | null;
 }
 
 export interface Leadership {
   readonly term: number;
-  /** Revision of the leader's object as last written by this leader. */
+  /** Revision of the leader record as last written by this leader. */
   leaderRevision: number;
   beat: number;
-  /** When the last call that confirmed the leadership was sent. */
+  /** Time at which the last write that confirmed the leadership was sent. */
   confirmedAt: Milliseconds;
   confirming: boolean;
   nextConfirmationAt: Milliseconds;
-  /** A confirmation that is refused is tried again after this long. */
+  /** Delay before the retry of a refused confirmation. */
   refusedRetry: Milliseconds;
   table: OwnershipTable;
   tableRevision: number;
   write: TableWrite | null;
   readonly startedAt: Milliseconds;
-  /** Earlier leaders call no server after this time. */
+  /** Time after which earlier leaders send no calls to servers. */
   formerCallsEndAt: Milliseconds;
-  /** Leases of earlier leaders have run out after this time. */
+  /** Time after which the leases granted by earlier leaders have expired. */
   formerLeasesEndAt: Milliseconds;
-  /** The leader before, if no other one before it can still act. */
+  /** The previous leader, if no leader before it can still act; otherwise null. */
   readonly former: LeaderRecord | null;
   readonly progress: Map<string, UnitProgress>;
   readonly leases: Map<ServerId, ServerLease>;
   readonly calls: Map<number, PendingCall>;
-  /** Addresses of servers, those that are no longer listed included. */
+  /** Addresses of servers, including those that are no longer listed. */
   readonly addresses: Map<ServerId, string>;
   readonly keyLoad: Map<ServiceName, KeyLoad>;
-  /** How fast servers work. */
+  /** Estimates of the time that servers work on a request. */
   readonly paces: Map<ServerId, ServerPace>;
-  /** Owners that asked daemons for rest. */
+  /** Back-offs that owners asked daemons for. */
   readonly rests: RestReports;
-  /** Places of servers with limits. */
+  /** Token buckets of servers with rate limits. */
   readonly permitBuckets: PermitBuckets;
   readonly recentLimits: RecentLimits;
-  /** When servers with limits that nobody sends to were probed. */
+  /** Times at which rate-limited servers that receive no requests were last probed. */
   readonly limitProbedAt: Map<ServerId, Milliseconds>;
   lateOrderSeenAt: Milliseconds;
   plannedAt: Milliseconds;
   nextPlanAt: Milliseconds;
   nextJoinAt: Milliseconds;
   nextIntakeAt: Milliseconds;
-  /** Daemons that are connected, or were lately. */
+  /** Number of connected daemons, as its recent peak. */
   readonly daemonCount: RecentPeak;
-  /** Steps since the table's revision, for the order of views. */
+  /** Number of view updates since the revision of the table, which orders the views of one revision. */
   viewStep: number;
   viewChanged: boolean;
   nextBroadcastAt: Milliseconds;
--- a/src/router/ownership/ownership-statement.ts
+++ b/src/router/ownership/ownership-statement.ts
@@ -1,14 +1,14 @@
-/** Statements of ownership: what the leader tells of the table and of how far it is carried out. */
+/** Messages with which the leader propagates the ownership table and the progress of carrying it out. */
 import type { Ownership } from '../peers/messages.js';
 import type { RouterContext } from '../router-context.js';
 import type { Leadership } from './leadership-state.js';
 import { unitName } from './ownership-table.js';
 import { OwnershipView, type UnitView } from './ownership-view.js';
 
-/** Steps of the view within one revision of the table. */
+/** Limit on the view updates within one revision of the table. */
 const STEPS_PER_REVISION = 10_000;
 
-/** The view of the table at a revision, after some steps of carrying it out. */
+/** Returns the sequence of the view at a revision of the table, after a number of updates of its progress. */
 export function viewSequence(revision: number, step: number): number {
   return revision + Math.min(step, STEPS_PER_REVISION - 1) / STEPS_PER_REVISION;
 }
@@ -22,43 +22,44 @@
   return new OwnershipView(leadership.term, sequence, units);
 }
 
-function statement(view: OwnershipView, base: number, units: readonly UnitView[]): Ownership {
-  const stated = units.map(({ service, from, to, owner, fence, granted }) => {
+function buildOwnershipMessage(view: OwnershipView, base: number, units: readonly UnitView[]): Ownership {
+  const sentUnits = units.map(({ service, from, to, owner, fence, granted }) => {
     return { service, from, to, owner, fence, granted };
   });
-  return { kind: 'ownership', term: view.term, sequence: view.sequence, base, units: stated };
+  return { kind: 'ownership', term: view.term, sequence: view.sequence, base, units: sentUnits };
 }
 
-/** All that a view says. */
+/** Returns a message with all units of a view. */
 export function wholeStatement(view: OwnershipView): Ownership {
-  return statement(view, 0, view.units);
+  return buildOwnershipMessage(view, 0, view.units);
 }
 
-function viewKey(unit: UnitView): string {
+function unitViewKey(unit: UnitView): string {
   return `${unitName(unit)} ${unit.owner} ${unit.fence} ${unit.granted}`;
 }
 
-/** Tells every child what has changed in who owns what. */
+/** Sends the units whose ownership changed to every child. */
 export function broadcastView(context: RouterContext, leadership: Leadership): void {
   const { state } = context;
   leadership.viewChanged = false;
   leadership.viewStep += 1;
   const view = currentView(leadership);
   const before = state.view.term === view.term ? state.view : null;
-  const known = new Set(before?.units.map(viewKey));
-  const changed = view.units.filter((unit) => !known.has(viewKey(unit)));
+  const known = new Set(before?.units.map(unitViewKey));
+  const changed = view.units.filter((unit) => !known.has(unitViewKey(unit)));
   state.view = view;
-  const message = statement(view, before?.sequence ?? 0, changed);
+  const message = buildOwnershipMessage(view, before?.sequence ?? 0, changed);
   context.emit({ kind: 'sendToChildren', link: null, message });
 }
 
-/** Takes in a statement of the leader, and passes it on. */
+/** Applies an ownership message from the parent, and forwards it to the children. */
 export function receiveOwnership(context: RouterContext, message: Ownership): void {
   const { state } = context;
   const units = message.units.map((unit) => ({ ...unit, releasing: null }));
   const isChange = message.base !== 0;
   if (isChange && (message.base !== state.view.sequence || message.term !== state.view.term)) {
-    // A change before it was missed: the next report says so to the parent.
+    // An earlier change was missed. The next report shows that to the parent, which then sends the whole
+    // view.
     return;
   }
   const view = isChange
--- a/src/router/ownership/ownership-table.ts
+++ b/src/router/ownership/ownership-table.ts
@@ -1,40 +1,46 @@
 /**
- * Which server owns which keys: the content of one object in the store. Every change is written there by
- * compare-and-swap before anything is done on it. Immutable, with pure updates.
+ * The ownership table: which server owns which keys. It is one object in the store, and every change is
+ * written there by compare-and-swap before it is carried out. Tables are immutable, and updates are pure
+ * functions.
  */
 import { LAST_KEY, type Fence, type Key, type ServerId, type ServiceName } from '../model/identifiers.js';
 
-/** A range of keys of one service with one owner and one fence. */
+/** A range of keys of one service with one owner and one fencing token. */
 export interface Unit {
   readonly service: ServiceName;
   readonly from: Key;
-  /** The last key, inside the range. */
+  /** The last key of the range, inclusive. */
   readonly to: Key;
   readonly owner: ServerId;
-  /** Fence of the owner's grant. The number below it is the fence of the release at the former owner. */
+  /**
+   * Fencing token of the owner's grant. The number below it is the fencing token of the release at the former
+   * owner.
+   */
   readonly fence: Fence;
-  /** The former owner that must give the keys up, or be out of its lease, before the owner gets them. */
+  /**
+   * Former owner that must release the keys, or whose leases must have expired, before the owner is granted
+   * them.
+   */
   readonly releasing: ServerId | null;
 }
 
-/** Every unit of every keyed service. */
+/** The units of all keyed services. */
 export interface OwnershipTable {
-  /** The leader's term: rises with every change of leader. */
+  /** Term of the leader, which rises with every change of leader. */
   readonly term: number;
   readonly nextFence: Fence;
-  /** Sorted by service, then by first key; the units of a service cover every key once. */
+  /** Sorted by service, then by first key. The units of a service cover every key exactly once. */
   readonly units: readonly Unit[];
 }
 
-/** A table without units. */
 export const EMPTY_TABLE: OwnershipTable = { term: 0, nextFence: 2, units: [] };
 
-/** Names of units: they are asked for at every tick, and units do not change. */
+/** Caches the names of units, which are needed at every tick and never change. */
 const names = new WeakMap<object, string>();
-/** Units by name, made for a table when it is first asked for. */
+/** Caches the units of a table by name, built on first use. */
 const indexes = new WeakMap<OwnershipTable, ReadonlyMap<string, Unit>>();
 
-/** A name for a unit's range, unique within one table. */
+/** Returns a name for the range of a unit, unique within one table. */
 export function unitName(unit: Pick<Unit, 'service' | 'from' | 'to'>): string {
   let name = names.get(unit);
   if (name === undefined) {
@@ -44,7 +50,7 @@
   return name;
 }
 
-/** The unit of a table with a name. */
+/** Returns the unit with the given name. */
 export function unitNamed(table: OwnershipTable, name: string): Unit | undefined {
   let index = indexes.get(table);
   if (index === undefined) {
@@ -61,17 +67,17 @@
   return left.from - right.from;
 }
 
-/** The table with other units, sorted. */
+/** Returns the table with other units, which are sorted here. */
 export function withUnits(table: OwnershipTable, units: readonly Unit[]): OwnershipTable {
   return { ...table, units: [...units].sort(compareUnits) };
 }
 
-/** Two fences: the lower for a release, the higher for the grant after it. */
+/** Allocates two fences: the lower for a release, and the returned higher one for the grant after it. */
 export function takeFences(table: OwnershipTable): { table: OwnershipTable; fence: Fence } {
   return { table: { ...table, nextFence: table.nextFence + 2 }, fence: table.nextFence + 1 };
 }
 
-/** Cuts a unit into two of the same owner and fence; `middle` is the first key of the second. */
+/** Splits a unit into two with the same owner and fence; `middle` is the first key of the second. */
 export function splitUnit(table: OwnershipTable, unit: Unit, middle: Key): OwnershipTable {
   if (middle <= unit.from || middle > unit.to) {
     return table;
@@ -87,33 +93,33 @@
 }
 
 /**
- * Joins neighbours of one owner that may be joined; each joined unit has a fresh fence above those of its
- * parts. Fewer units need fewer renewals.
+ * Merges adjacent units of one owner if `mayMerge` allows it. Each merged unit gets a new fence above those
+ * of its parts. Fewer units need fewer renewals.
  */
-export function joinUnits(table: OwnershipTable, mayJoin: (unit: Unit) => boolean): OwnershipTable {
+export function joinUnits(table: OwnershipTable, mayMerge: (unit: Unit) => boolean): OwnershipTable {
   let result = table;
-  const joined: Unit[] = [];
+  const merged: Unit[] = [];
   for (const unit of table.units) {
-    const last = joined.at(-1);
-    const neighbours =
+    const last = merged.at(-1);
+    const areAdjacent =
       last?.service === unit.service && last.owner === unit.owner && last.to + 1 === unit.from;
     if (
       last !== undefined &&
-      neighbours &&
-      mayJoin(unit) &&
-      (last.fence >= table.nextFence || mayJoin(last))
+      areAdjacent &&
+      mayMerge(unit) &&
+      (last.fence >= table.nextFence || mayMerge(last))
     ) {
-      const taken = last.fence >= table.nextFence ? { table: result, fence: last.fence } : takeFences(result);
-      result = taken.table;
-      joined[joined.length - 1] = { ...last, to: unit.to, fence: taken.fence, releasing: null };
+      const allocated = last.fence >= table.nextFence ? { table: result, fence: last.fence } : takeFences(result);
+      result = allocated.table;
+      merged[merged.length - 1] = { ...last, to: unit.to, fence: allocated.fence, releasing: null };
     } else {
-      joined.push(unit);
+      merged.push(unit);
     }
   }
-  return result === table ? table : withUnits(result, joined);
+  return result === table ? table : withUnits(result, merged);
 }
 
-/** The units of a service that has none yet: one equal range for each owner. */
+/** Adds the units of a service that has none yet: one range of equal size for each owner. */
 export function firstUnits(
   table: OwnershipTable,
   service: ServiceName,
@@ -123,11 +129,11 @@
   let result = table;
   const units: Unit[] = [];
   owners.forEach((owner, index) => {
-    const taken = takeFences(result);
-    result = taken.table;
+    const allocated = takeFences(result);
+    result = allocated.table;
     const from = Math.floor((index * keys) / owners.length);
     const to = Math.floor(((index + 1) * keys) / owners.length) - 1;
-    units.push({ service, from, to, owner, fence: taken.fence, releasing: null });
+    units.push({ service, from, to, owner, fence: allocated.fence, releasing: null });
   });
   return withUnits(result, [...table.units, ...units]);
 }
--- a/src/router/ownership/ownership-view.ts
+++ b/src/router/ownership/ownership-view.ts
@@ -1,4 +1,6 @@
-/** What a daemon believes of ownership: the table, and which units their owners have been granted. */
+/**
+ * A daemon's view of ownership: the units of the table, and which of them have been granted to their owners.
+ */
 import type { Key, ServiceName } from '../model/identifiers.js';
 import type { Unit } from './ownership-table.js';
 
@@ -26,12 +28,12 @@
   return groups;
 }
 
-/** A leader's statement of ownership. Views are ordered by term, then by sequence. */
+/** Ownership as a leader sent it. Views are ordered by term, then by sequence. */
 export class OwnershipView {
   readonly term: number;
   readonly sequence: number;
   readonly units: readonly UnitView[];
-  /** Units of each service, by their first key. */
+  /** Units of each service, sorted by first key. */
   readonly #byService: ReadonlyMap<ServiceName, readonly UnitView[]>;
 
   constructor(
@@ -46,12 +48,12 @@
     this.#byService = byService;
   }
 
-  /** True when this view replaces the other. */
+  /** Returns whether this view replaces the other. */
   isNewerThan(other: OwnershipView): boolean {
     return this.term > other.term || (this.term === other.term && this.sequence > other.sequence);
   }
 
-  /** The view after a change: the units given take the place of those that they overlap. */
+  /** Returns the view after a change: the given units replace those that they overlap. */
   changed(sequence: number, units: readonly UnitView[]): OwnershipView {
     const byService = new Map(this.#byService);
     for (const [service, changed] of groupByService(units)) {
@@ -62,7 +64,7 @@
     return new OwnershipView(this.term, sequence, [...byService.values()].flat(), byService);
   }
 
-  /** The unit that a key lies in. */
+  /** Returns the unit that contains a key. */
   unitOf(service: ServiceName, key: Key): UnitView | undefined {
     const list = this.#byService.get(service);
     if (list === undefined) {
@@ -83,5 +85,5 @@
   }
 }
 
-/** The view of a daemon that has heard of no table. */
+/** View of a daemon that has received no table yet. */
 export const EMPTY_VIEW = new OwnershipView(0, 0, []);
--- a/src/router/ownership/plan-input.ts
+++ b/src/router/ownership/plan-input.ts
@@ -1,29 +1,29 @@
-/** What an assignment is planned from. */
+/** Input of the assignment plan. */
 import type { ServerId, ServiceName } from '../model/identifiers.js';
 import type { Room } from './move-value.js';
 import type { KeyRate } from './key-load.js';
 import type { Unit } from './ownership-table.js';
 
-/** A server that takes units. */
+/** A server that may own units. */
 export interface EligibleServer {
   readonly id: ServerId;
   readonly zone: string;
   readonly room: Room;
-  /** It keeps what it has, and gets no more while another server can: it is cold. */
+  /** The server is warming up: it keeps its units, and gets no more while another server can take them. */
   readonly isCold: boolean;
 }
 
-/** What a plan for one service is made from. */
+/** Input of the plan for one service. */
 export interface PlanInput {
   readonly service: ServiceName;
   readonly servers: readonly EligibleServer[];
-  /** Rates by key, in the order of keys. */
+  /** Request rates by key, in key order. */
   readonly rates: readonly KeyRate[];
-  /** How a unit may be moved now, or null while it must stay. */
+  /** Returns the permission to move a unit now, or null while the unit must stay. */
   readonly mobility: (unit: Unit) => Mobility | null;
 }
 
-/** The server that must give a unit up before it goes on. */
+/** The former owner that must release a unit before its next owner is granted it; null if there is none. */
 export interface Mobility {
   readonly releasing: ServerId | null;
 }
--- a/src/router/ownership/recent-peak.ts
+++ b/src/router/ownership/recent-peak.ts
@@ -1,9 +1,9 @@
-/** The greatest of the values seen lately. */
+/** Maximum of recently recorded values. */
 import type { Milliseconds } from '../model/identifiers.js';
 
 /**
- * Keeps a maximum for a time. Shares of a common bound are worked out by the number of daemons: those that lose touch for a
- * moment still use their shares, so the count must not fall at once.
+ * Keeps a maximum for a limited time. Shares of a common budget are computed from the number of daemons:
+ * daemons that are disconnected for a moment still use their shares, so the count must not drop at once.
  */
 export class RecentPeak {
   readonly #memory: Milliseconds;
@@ -16,7 +16,7 @@
     this.#seenAt = now;
   }
 
-  /** Takes a value in and returns the peak. */
+  /** Records a value and returns the peak. */
   note(value: number, now: Milliseconds): number {
     if (value >= this.#value || now - this.#seenAt > this.#memory) {
       this.#value = value;
--- a/src/router/ownership/server-lease.ts
+++ b/src/router/ownership/server-lease.ts
@@ -1,4 +1,4 @@
-/** What a leader knows of one server's leases, and whether the server answers. */
+/** What the leader knows about the leases of one server, and whether the server answers calls. */
 import type { Milliseconds, ServerId } from '../model/identifiers.js';
 import type { Leadership, PendingCall, ServerLease } from './leadership-state.js';
 import {
@@ -10,7 +10,7 @@
   SILENT_AFTER_LATE_ORDERS,
 } from './ownership-timing.js';
 
-/** The lease record of a server, made when it is first needed. */
+/** Returns the lease state of a server, created on first use. */
 export function leaseOf(leadership: Leadership, server: string): ServerLease {
   let lease = leadership.leases.get(server);
   if (lease === undefined) {
@@ -32,68 +32,75 @@
   return lease;
 }
 
-function lateOrdersExpected(leadership: Leadership, now: Milliseconds): boolean {
+function areLateCallsExpected(leadership: Leadership, now: Milliseconds): boolean {
   return now - leadership.lateOrderSeenAt < LATE_ORDER_MEMORY;
 }
 
-/** After this time neither the server nor its successor holds anything by its grants, whether or not it answers. */
+/**
+ * Returns the time after which neither the server nor its successor holds any key under its grants, whether
+ * or not it answers.
+ */
 export function leaseEnd(leadership: Leadership, lease: ServerLease, now: Milliseconds): Milliseconds {
   if (lease.heldByNobody) {
     return Number.NEGATIVE_INFINITY;
   }
-  const lateness = lateOrdersExpected(leadership, now) ? LATE_ORDER : 0;
-  const unansweredEnd = lease.unansweredGrantAt + lateness + longestHold(lease.unansweredLease);
+  const lateExecutionDelay = areLateCallsExpected(leadership, now) ? LATE_ORDER : 0;
+  const unansweredEnd = lease.unansweredGrantAt + lateExecutionDelay + longestHold(lease.unansweredLease);
   return Math.max(leadership.formerLeasesEndAt, lease.holdsUntil, unansweredEnd);
 }
 
-/** The leader before has ended: it calls nobody any more. */
+/** Records that the former leader has ended and sends no further calls. */
 export function noteFormerEnded(leadership: Leadership, now: Milliseconds): void {
   leadership.formerCallsEndAt = Math.min(leadership.formerCallsEndAt, now);
   leadership.formerLeasesEndAt = Math.min(leadership.formerLeasesEndAt, now + longestHold(LEASE));
 }
 
-/** A grant goes out. */
-export function noteGrantSent(lease: ServerLease, hold: Milliseconds, now: Milliseconds): void {
-  lease.holdsUntil = Math.max(lease.holdsUntil, now + longestHold(hold));
+/** Records that a grant was sent, after which the server may hold keys until the lease ends. */
+export function noteGrantSent(lease: ServerLease, duration: Milliseconds, now: Milliseconds): void {
+  lease.holdsUntil = Math.max(lease.holdsUntil, now + longestHold(duration));
 }
 
-/** A call was answered: the server is alive, and took the call at the latest now. */
+/** Records an answered call: the server is alive, and executed the call no later than now. */
 export function noteAnswer(leadership: Leadership, call: PendingCall, now: Milliseconds): void {
   const lease = leaseOf(leadership, call.server);
   if (call.action === 'grant') {
     lease.holdsUntil = Math.max(lease.holdsUntil, now + longestHold(call.lease));
   }
   if (lease.unanswered > 0 && lease.lastUnansweredAt < call.sentAt) {
-    // An earlier call is lost although the server answers a later one.
+    // The server answers a later call but left an earlier one unanswered, which may still be executed.
     leadership.lateOrderSeenAt = now;
   }
   lease.unanswered = 0;
   lease.silent = false;
 }
 
-/** A call has no answer. One that was sent may be carried out late. */
+/** Records that a call got no answer. A call that was sent may still be executed late. */
 export function noteNoAnswer(
   leadership: Leadership,
   call: PendingCall,
-  sent: boolean,
+  wasSent: boolean,
   now: Milliseconds,
 ): void {
   const lease = leaseOf(leadership, call.server);
   if (call.action === 'release') {
-    // Its answer waits for the work on the keys: no answer says nothing of the server.
+    // A server answers a release only after its requests for the keys have ended, so a missing answer does
+    // not show that the server is unresponsive.
     return;
   }
-  if (sent && call.action === 'grant') {
+  if (wasSent && call.action === 'grant') {
     lease.unansweredGrantAt = Math.max(lease.unansweredGrantAt, call.sentAt);
     lease.unansweredLease = Math.max(lease.unansweredLease, call.lease);
   }
   lease.unanswered += 1;
   lease.lastUnansweredAt = call.sentAt;
-  const limit = lateOrdersExpected(leadership, now) ? SILENT_AFTER_LATE_ORDERS : SILENT_AFTER;
+  const limit = areLateCallsExpected(leadership, now) ? SILENT_AFTER_LATE_ORDERS : SILENT_AFTER;
   lease.silent ||= lease.unanswered >= limit;
 }
 
-/** The server's process has ended: another one at its address refused a call that was meant for it. */
+/**
+ * Records that the server's process has ended, because another process at its address refused a call that was
+ * meant for it.
+ */
 export function noteRefusedByOther(leadership: Leadership, server: ServerId): void {
   const lease = leaseOf(leadership, server);
   lease.ended = true;
@@ -102,8 +109,10 @@
 }
 
 /**
- * The server's process has ended: the list names another life at its address, or under its name. That one may have taken renewals that were
- * meant for this one, so that keys were held twice when they moved on at once; it is asked to release them first.
+ * Records that the server's process has ended, because the server list names another incarnation at its
+ * address or under its name. The successor may have accepted renewals that were meant for the ended server,
+ * so reassigning the keys at once gave them two owners. The successor is therefore asked to release them
+ * first.
  */
 export function noteSucceeded(leadership: Leadership, server: ServerId, successor: ServerId): void {
   const lease = leaseOf(leadership, server);
--- a/src/router/ownership/server-pace.ts
+++ b/src/router/ownership/server-pace.ts
@@ -1,58 +1,62 @@
 /**
- * How long a server works on a request, from what all daemons saw together. A daemon alone cannot tell work from
- * waiting: it does not see what the others have there. All answers of a period can: while a server is not full, the
- * time of its requests is its work; while it is, its slots are all at work.
+ * Estimates how long a server works on a request, from the observations of all daemons together. A single
+ * daemon cannot tell processing from queueing, since it does not see the requests of other daemons. All
+ * answers of a period show it: while a server is below capacity, the duration of its requests is processing
+ * time; while it is at capacity, all of its slots are processing.
  */
 import type { Milliseconds } from '../model/identifiers.js';
 
-/** Answers are judged together for at least this long. */
+/** Shortest period whose answers are evaluated together. */
 const PERIOD: Milliseconds = 450;
-/** With less than this many requests' work, a period is judged with the next. */
+/** A period with less than the work of this many requests is evaluated together with the next one. */
 const LEAST_REQUESTS = 4;
-/** Weight of one request in the estimate, and the most that a period may have. */
+/** Weight of one request in the estimate, and the highest weight of a period. */
 const REQUEST_WEIGHT = 0.02;
 const MOST_WEIGHT = 0.35;
 
-/** Answers of a server, and how long requests were there together, those without an answer included. */
+/**
+ * Number of answers of a server, and the total time that requests spent there, including requests without an
+ * answer.
+ */
 export interface AnswerTimes {
   readonly requests: number;
   readonly total: Milliseconds;
 }
 
-/** The estimate for one server. */
+/** Service time estimate of one server. */
 export class ServerPace {
   #since: Milliseconds;
   #requests = 0;
   #total: Milliseconds = 0;
-  #workTime: Milliseconds | null = null;
+  #serviceTime: Milliseconds | null = null;
 
   constructor(now: Milliseconds) {
     this.#since = now;
   }
 
-  /** Work on a request at one slot, or null before enough was seen. */
+  /** Processing time of a request in one slot, or null before enough answers were observed. */
   get workTime(): Milliseconds | null {
-    return this.#workTime;
+    return this.#serviceTime;
   }
 
-  /** Takes in what a daemon saw since it last told. */
+  /** Adds what a daemon has observed since its last report. */
   add({ requests, total }: AnswerTimes): void {
     this.#requests += requests;
     this.#total += total;
   }
 
-  /** Judges what was taken in, when there is enough of it. */
+  /** Updates the estimate, if enough has been observed. */
   judge(slots: number, now: Milliseconds): void {
     const period = now - this.#since;
-    // A server that answers nobody has no answers to count, but the time of those who wait.
-    const evidence = Math.max(this.#requests, this.#workTime === null ? 0 : this.#total / this.#workTime);
+    // A server that answers no request has no answers to count, but the time of the waiting requests.
+    const evidence = Math.max(this.#requests, this.#serviceTime === null ? 0 : this.#total / this.#serviceTime);
     if (period < PERIOD || evidence < LEAST_REQUESTS) {
       return;
     }
     const answers = Math.max(1, this.#requests);
-    const seen = Math.min(this.#total, slots * period) / answers;
+    const observed = Math.min(this.#total, slots * period) / answers;
     const weight = Math.min(MOST_WEIGHT, evidence * REQUEST_WEIGHT);
-    this.#workTime = this.#workTime === null ? seen : this.#workTime + (seen - this.#workTime) * weight;
+    this.#serviceTime = this.#serviceTime === null ? observed : this.#serviceTime + (observed - this.#serviceTime) * weight;
     this.#since = now;
     this.#requests = 0;
     this.#total = 0;
--- a/src/router/ownership/service-plan.ts
+++ b/src/router/ownership/service-plan.ts
@@ -1,4 +1,4 @@
-/** A plan under way for one service: which units go where, from the load on keys and what servers can do. */
+/** Plans the assignment of one service from the load on its keys and the throughput of its servers. */
 import type { Key, ServerId } from '../model/identifiers.js';
 import type { KeyRate } from './key-load.js';
 import { KeyRates, partsUpTo, type KeyRange } from './key-range.js';
@@ -6,48 +6,54 @@
 import { splitUnit, takeFences, withUnits, type OwnershipTable, type Unit } from './ownership-table.js';
 import type { EligibleServer, Mobility, PlanInput } from './plan-input.js';
 
-/** Below this utilisation a server needs no relief. */
+/** Load is moved only off servers with at least this utilisation. */
 const RELIEF_FROM = 0.5;
-/** Parts of the load that would even two servers out, from which a plan chooses what to move. */
+/**
+ * Loads that a plan considers moving, as shares of the load that would equalise the utilisation of two
+ * servers.
+ */
 const PART_SHARES = [1.25, 0.6, 0.25];
-/** Each unit is renewed by itself: no more are made than this many for each server. */
+/** Limit on the units of a service per server. Each unit needs renewals of its own. */
 const MOST_UNITS_PER_SERVER = 10;
-/** Moves for balance in one plan of a service: this many, or more where there are many servers. */
+/**
+ * Limit on the balancing moves in one plan of a service: the base limit, or more where there are many
+ * servers.
+ */
 const MOST_MOVES = 8;
 const MOVES_PER_SERVER = 0.35;
-/** Fewer keys than this are not left as a unit beside a part that is cut out. */
+/** Fewer keys than this are not left as a unit of their own beside a range that is split off. */
 const SLIVER = 48;
 
-/** A part of a unit that may go to another server. */
+/** A move of a part of a unit to another server. */
 interface Move {
   readonly unit: Unit;
   readonly part: KeyRange;
   readonly to: EligibleServer;
   readonly mobility: Mobility;
-  /** Requests that it saves, after what it costs. */
+  /** Requests that the move saves, less its cost in requests. */
   readonly value: number;
 }
 
-/** Warm servers; cold ones only where there are no others. */
+/** Returns the warm servers, or the cold ones if there are no others. */
 export function takersOf(servers: readonly EligibleServer[]): readonly EligibleServer[] {
   const warm = servers.filter((server) => !server.isCold);
   return warm.length > 0 ? warm : servers;
 }
 
-/** A plan under way for one service. */
+/** Plan of the assignment of one service, built up move by move. */
 export class ServicePlan {
   table: OwnershipTable;
   readonly #input: PlanInput;
   readonly #rates: KeyRates;
   readonly #load = new Map<ServerId, number>();
-  /** Servers that units may go to. */
-  readonly #takers: readonly EligibleServer[];
+  /** Servers that units may move to. */
+  readonly #targetServers: readonly EligibleServer[];
 
   constructor(table: OwnershipTable, input: PlanInput) {
     this.table = table;
     this.#input = input;
     this.#rates = new KeyRates(input.rates);
-    this.#takers = takersOf(input.servers);
+    this.#targetServers = takersOf(input.servers);
     for (const server of input.servers) {
       this.#load.set(server.id, 0);
     }
@@ -75,58 +81,58 @@
     return (this.#load.get(server.id) ?? 0) / usableRate(server.room);
   }
 
-  /** The server with the least to do; among equals the one with the fewest units. */
-  #coolest(): EligibleServer | undefined {
+  /** Returns the server with the lowest utilisation; among equals the one with the fewest units. */
+  #leastUtilised(): EligibleServer | undefined {
     const counts = new Map<ServerId, number>();
     for (const unit of this.#units()) {
       counts.set(unit.owner, (counts.get(unit.owner) ?? 0) + 1);
     }
-    const byNeed = (left: EligibleServer, right: EligibleServer): number =>
+    const byUtilisation = (left: EligibleServer, right: EligibleServer): number =>
       this.#utilisation(left) - this.#utilisation(right) ||
       (counts.get(left.id) ?? 0) - (counts.get(right.id) ?? 0);
-    return [...this.#takers].sort(byNeed)[0];
+    return [...this.#targetServers].sort(byUtilisation)[0];
   }
 
-  #hottest(skipped: ReadonlySet<ServerId>): EligibleServer | undefined {
-    const open = this.#input.servers.filter((server) => !skipped.has(server.id));
-    return open.sort((left, right) => this.#utilisation(right) - this.#utilisation(left))[0];
+  #mostUtilised(excluded: ReadonlySet<ServerId>): EligibleServer | undefined {
+    const candidates = this.#input.servers.filter((server) => !excluded.has(server.id));
+    return candidates.sort((left, right) => this.#utilisation(right) - this.#utilisation(left))[0];
   }
 
-  #move(unit: Unit, to: EligibleServer, mobility: Mobility): void {
-    const taken = takeFences(this.table);
-    const moved: Unit = { ...unit, owner: to.id, fence: taken.fence, releasing: mobility.releasing };
+  #move(unit: Unit, to: EligibleServer, permission: Mobility): void {
+    const allocated = takeFences(this.table);
+    const moved: Unit = { ...unit, owner: to.id, fence: allocated.fence, releasing: permission.releasing };
     const units = this.table.units.map((other) => (other === unit ? moved : other));
-    this.table = withUnits(taken.table, units);
+    this.table = withUnits(allocated.table, units);
     const rate = this.#rateOf(unit);
     this.#addLoad(unit.owner, -rate);
     this.#addLoad(to.id, rate);
   }
 
-  /** Units of servers that take none go elsewhere. */
+  /** Moves the units of servers that are not eligible to other servers. */
   evacuate(): void {
     for (const unit of this.#units()) {
-      const mobility = this.#load.has(unit.owner) ? null : this.#input.mobility(unit);
-      const target = mobility === null ? undefined : this.#coolest();
-      if (mobility !== null && target !== undefined) {
-        this.#move(unit, target, mobility);
+      const permission = this.#load.has(unit.owner) ? null : this.#input.mobility(unit);
+      const target = permission === null ? undefined : this.#leastUtilised();
+      if (permission !== null && target !== undefined) {
+        this.#move(unit, target, permission);
       }
     }
   }
 
-  /** Moves load off busy servers while that saves more than it costs. */
+  /** Moves load off busy servers as long as a move saves more than it costs. */
   balance(): void {
-    const mostMoves = Math.max(MOST_MOVES, this.#input.servers.length * MOVES_PER_SERVER);
-    const settled = new Set<ServerId>();
-    for (let moves = 0; moves < mostMoves; moves += 1) {
-      const hot = this.#hottest(settled);
+    const maxMoves = Math.max(MOST_MOVES, this.#input.servers.length * MOVES_PER_SERVER);
+    const exhausted = new Set<ServerId>();
+    for (let moves = 0; moves < maxMoves; moves += 1) {
+      const hot = this.#mostUtilised(exhausted);
       if (hot === undefined || this.#utilisation(hot) < RELIEF_FROM) {
         return;
       }
       const best = this.#bestMove(hot);
       if (best === undefined) {
-        settled.add(hot.id);
+        exhausted.add(hot.id);
       } else {
-        this.#move(this.#cutOut(best.unit, best.part), best.to, best.mobility);
+        this.#move(this.#splitOff(best.unit, best.part), best.to, best.mobility);
       }
     }
   }
@@ -135,7 +141,7 @@
     return { load: this.#load.get(server.id) ?? 0, room: server.room };
   }
 
-  /** Of all moves that relieve a server, the one that is worth most; undefined when none pays. */
+  /** Returns the move off a server with the highest net benefit, or undefined if no move has one. */
   #bestMove(hot: EligibleServer): Move | undefined {
     let best: Move | undefined;
     const targets = this.#targets(hot);
@@ -161,28 +167,34 @@
     return best;
   }
 
-  /** Servers that load may go to: the least utilised, the one with the most room, the one that can do the most. */
+  /**
+   * Returns servers that load may move to: the least utilised, the one with the most spare throughput, and
+   * the one with the highest throughput.
+   */
   #targets(hot: EligibleServer): EligibleServer[] {
-    const others = this.#takers.filter((server) => server.id !== hot.id);
-    const most = (value: (server: EligibleServer) => number): EligibleServer | undefined =>
+    const others = this.#targetServers.filter((server) => server.id !== hot.id);
+    const maxBy = (value: (server: EligibleServer) => number): EligibleServer | undefined =>
       others.reduce<EligibleServer | undefined>(
         (best, server) => (best === undefined || value(server) > value(best) ? server : best),
         undefined,
       );
-    const room = (server: EligibleServer): number =>
+    const spareRate = (server: EligibleServer): number =>
       usableRate(server.room) - (this.#load.get(server.id) ?? 0);
     const chosen = [
-      most((server) => -this.#utilisation(server)),
-      most(room),
-      most(({ room: able }) => usableRate(able)),
+      maxBy((server) => -this.#utilisation(server)),
+      maxBy(spareRate),
+      maxBy(({ room: maximum }) => usableRate(maximum)),
     ];
     return [...new Set(chosen)].filter((server) => server !== undefined);
   }
 
-  /** The whole unit, its hottest key, and runs of its keys that carry parts of what evens out two servers. */
+  /**
+   * Returns the candidate parts of a unit: the whole unit, its hottest key, and runs of its keys that carry
+   * shares of the load that would equalise two servers.
+   */
   #partsToMove(unit: Unit, hot: EligibleServer, targets: readonly EligibleServer[]): KeyRange[] {
     const whole = { from: unit.from, to: unit.to, rate: this.#rateOf(unit) };
-    if (whole.rate === 0 || !this.#mayCut()) {
+    if (whole.rate === 0 || !this.#maySplit()) {
       return whole.rate === 0 ? [] : [whole];
     }
     const rates = this.#rates.within(unit.from, unit.to);
@@ -191,15 +203,15 @@
     if (hottest !== undefined) {
       parts.push({ from: hottest.key, to: hottest.key, rate: hottest.rate });
     }
-    const widest = Math.max(...targets.map((to) => this.#evenShare(hot, to)));
+    const maxLoad = Math.max(...targets.map((to) => this.#equalisingLoad(hot, to)));
     for (const share of PART_SHARES) {
-      parts.push(...partsUpTo(rates, widest * share));
+      parts.push(...partsUpTo(rates, maxLoad * share));
     }
     return parts;
   }
 
-  /** The load whose move leaves two servers equally utilised. */
-  #evenShare(hot: EligibleServer, cool: EligibleServer): number {
+  /** Returns the load whose move leaves two servers equally utilised. */
+  #equalisingLoad(hot: EligibleServer, cool: EligibleServer): number {
     const hotLoad = this.#load.get(hot.id) ?? 0;
     const coolLoad = this.#load.get(cool.id) ?? 0;
     const [hotRate, coolRate] = [usableRate(hot.room), usableRate(cool.room)];
@@ -216,23 +228,23 @@
     return hottest;
   }
 
-  /** Whether there are fewer units than there may be; else they are moved whole. */
-  #mayCut(): boolean {
+  /** Returns whether the limit on units allows another split; otherwise units are moved whole. */
+  #maySplit(): boolean {
     return this.#units().length < this.#input.servers.length * MOST_UNITS_PER_SERVER;
   }
 
-  /** Makes a range of a unit's keys a unit of its own, with the few keys beside it that nobody asks for. */
-  #cutOut(unit: Unit, { from, to }: KeyRange): Unit {
+  /** Splits a range of keys off a unit, together with adjacent keys if they are few and not requested. */
+  #splitOff(unit: Unit, { from, to }: KeyRange): Unit {
     if (from === unit.from && to === unit.to) {
       return unit;
     }
-    const headIsSliver = from - unit.from < SLIVER && this.#isCold(unit.from, from - 1);
-    const head = headIsSliver ? unit : (this.#split(unit, from, from) ?? unit);
-    const tailIsSliver = head.to - to < SLIVER && this.#isCold(to + 1, head.to);
-    return tailIsSliver ? head : (this.#split(head, to + 1, head.from) ?? head);
+    const keepsHead = from - unit.from < SLIVER && this.#isUnrequested(unit.from, from - 1);
+    const head = keepsHead ? unit : (this.#split(unit, from, from) ?? unit);
+    const keepsTail = head.to - to < SLIVER && this.#isUnrequested(to + 1, head.to);
+    return keepsTail ? head : (this.#split(head, to + 1, head.from) ?? head);
   }
 
-  #isCold(from: Key, to: Key): boolean {
+  #isUnrequested(from: Key, to: Key): boolean {
     return this.#rates.within(from, to).length === 0;
   }
 
--- a/src/router/ownership/stored-objects.ts
+++ b/src/router/ownership/stored-objects.ts
@@ -1,4 +1,4 @@
-/** The two objects that the daemons keep in the store, and their checks. */
+/** Schemas of the two objects that the daemons keep in the store. */
 import * as z from 'zod';
 import { LAST_KEY } from '../model/identifiers.js';
 import type { OwnershipTable } from './ownership-table.js';
@@ -10,19 +10,19 @@
   daemon: z.string(),
   life: z.number(),
   address: z.string(),
-  /** Counts confirmations. */
+  /** Number of confirmations of this leadership. */
   beat: z.number(),
-  /** No earlier leader can call a server any more. */
+  /** No earlier leader can still call a server. */
   settled: z.boolean(),
-  /** It has stopped: another daemon should lead at once. */
+  /** The leader has stopped, so another daemon should take over at once. */
   resigned: z.boolean(),
 });
 
-/** Who leads. */
+/** The stored record that names the leader. */
 export type LeaderRecord = z.infer<typeof leaderSchema>;
 
 const ownershipSchema = z.object({
-  /** Names the write, so that one without an answer is recognised. */
+  /** Identifies the write, so that a write whose answer was lost is recognised. */
   writeId: z.string(),
   table: z.object({
     term: z.number().int(),
@@ -46,13 +46,13 @@
   readonly table: OwnershipTable;
 }
 
-/** Reads the leader's object; null when it is malformed. */
+/** Parses a leader record; returns null if it is malformed. */
 export function parseLeader(value: unknown): LeaderRecord | null {
   const parsed = leaderSchema.safeParse(value);
   return parsed.success ? parsed.data : null;
 }
 
-/** Reads the ownership object; null when it is malformed. */
+/** Parses an ownership record; returns null if it is malformed. */
 export function parseOwnership(value: unknown): OwnershipRecord | null {
   const parsed = ownershipSchema.safeParse(value);
   return parsed.success ? parsed.data : null;
--- a/src/router/ownership/table-write.ts
+++ b/src/router/ownership/table-write.ts
@@ -1,4 +1,4 @@
-/** Writes the ownership table, and takes it up once the store has it. */
+/** Writes the ownership table, and adopts it once the store has accepted it. */
 import type { ObjectWrittenEvent } from '../events.js';
 import type { Milliseconds } from '../model/identifiers.js';
 import type { RouterContext } from '../router-context.js';
@@ -8,31 +8,32 @@
 import { unitName, type OwnershipTable, type Unit } from './ownership-table.js';
 import { parseOwnership, type OwnershipRecord } from './stored-objects.js';
 
-/** A write without an answer is repeated after this long. */
+/** Delay before the retry of a write that failed or got no answer. */
 const WRITE_RETRY: Milliseconds = 200;
-/** Changed units named in one line of the log. */
+/** Limit on the changed units in one log line. */
 const MOST_LOGGED = 20;
 
-function isFinished(leadership: Leadership, unit: Unit): boolean {
+function isReleaseFinished(leadership: Leadership, unit: Unit): boolean {
   const progress = leadership.progress.get(unitName(unit));
   return unit.releasing !== null && progress?.fence === unit.fence && progress.phase === 'held';
 }
 
 /**
- * The table without former owners that have given their units up for certain, since the owners hold them: the
- * next leader need not wait for them again. The same table when there are none.
+ * Returns the table without the former owners whose units are already held by their owners: these have
+ * certainly released the units, so the next leader need not wait for them again. Returns the same table if
+ * there are none.
  */
 export function withoutFinishedReleases(leadership: Leadership, table: OwnershipTable): OwnershipTable {
-  if (!table.units.some((unit) => isFinished(leadership, unit))) {
+  if (!table.units.some((unit) => isReleaseFinished(leadership, unit))) {
     return table;
   }
   const units = table.units.map((unit) =>
-    isFinished(leadership, unit) ? { ...unit, releasing: null } : unit,
+    isReleaseFinished(leadership, unit) ? { ...unit, releasing: null } : unit,
   );
   return { ...table, units };
 }
 
-/** Writes a new table; it is acted on once the store has taken it. */
+/** Writes a new table, which is carried out only once the store has accepted it. */
 export function writeTable(context: RouterContext, leadership: Leadership, planned: OwnershipTable): void {
   const table = withoutFinishedReleases(leadership, planned);
   const writeId = `${context.state.identity.life}-${context.state.nextCallId}`;
@@ -51,16 +52,17 @@
   }
 }
 
-/** Writes again when the answer of a write was lost. */
+/** Retries a write that failed or whose answer was lost. */
 export function retryWrite(context: RouterContext, leadership: Leadership): void {
   const retryAt = leadership.write?.retryAt ?? null;
   if (retryAt !== null && context.now >= retryAt) {
-    // The same content on the same revision: whichever try lands first, the other meets its write id.
+    // All attempts write the same content on the same revision: if one succeeds, the others find its write
+    // id.
     emitWrite(context, leadership);
   }
 }
 
-/** The write of the table ended. */
+/** Handles the outcome of a table write. */
 export function receiveTableWritten(
   context: RouterContext,
   leadership: Leadership,
@@ -119,7 +121,10 @@
   );
 }
 
-/** Progress of the units of a new table: kept for what stays, taken over by the parts of a split. */
+/**
+ * Updates the progress of units for a new table: unchanged units keep theirs, and the parts of a split unit
+ * inherit it.
+ */
 function reconcileProgress(context: RouterContext, leadership: Leadership, before: OwnershipTable): void {
   const known = new Map(leadership.progress);
   leadership.progress.clear();
@@ -133,8 +138,8 @@
     const inherited = whole === undefined ? undefined : known.get(unitName(whole));
     const progress =
       inherited === undefined ? newProgress(context, unit) : { ...inherited, callsInFlight: 0 };
-    if (inherited === undefined && isJoined(unit, before, known)) {
-      // The owner holds every part, under lower fences: it is renewed under the new one.
+    if (inherited === undefined && isMergedFromHeldUnits(unit, before, known)) {
+      // The owner holds every part under lower fences, so the merged unit is renewed under the new one.
       progress.phase = 'held';
       progress.ownerMayHold = true;
     }
@@ -143,7 +148,7 @@
   }
 }
 
-function isJoined(unit: Unit, before: OwnershipTable, known: ReadonlyMap<string, UnitProgress>): boolean {
+function isMergedFromHeldUnits(unit: Unit, before: OwnershipTable, known: ReadonlyMap<string, UnitProgress>): boolean {
   const parts = before.units.filter(
     (part) => part.service === unit.service && part.from <= unit.to && part.to >= unit.from,
   );
--- a/src/router/ownership/unit-control.ts
+++ b/src/router/ownership/unit-control.ts
@@ -1,4 +1,7 @@
-/** Carries a unit's assignment out at the servers: release, grant, renewal, and probes of silent servers. */
+/**
+ * Carries out the assignment of units at the servers: release, grant, renewal, and probes of servers that
+ * left a call unanswered.
+ */
 import type { ControlEndedEvent, ControlOutcome } from '../events.js';
 import type { Milliseconds, ServerId } from '../model/identifiers.js';
 import type { RouterContext } from '../router-context.js';
@@ -25,10 +28,10 @@
 
 const DEFAULT_HEALTH_PATH = '/health';
 const CALL_COUNTERS = { grant: 'grants', release: 'releases', probe: 'probes' } as const;
-/** A grant that was refused for another reason is repeated after this long. */
+/** Delay before the retry of a grant that the server rejected for another reason than its fence. */
 const REJECTED_RETRY: Milliseconds = 300;
 
-/** Makes the call that a unit is due. */
+/** Sends the next call that is due for a unit. */
 export function tickUnit(context: RouterContext, leadership: Leadership, unit: Unit): void {
   const progress = leadership.progress.get(unitName(unit));
   if (progress === undefined) {
@@ -64,10 +67,10 @@
 }
 
 /**
- * A write under way may give a unit to another owner because this one was never granted it: then it must
- * not be granted it meanwhile.
+ * Returns whether the table write in progress takes the unit from its owner, as it may do while the owner has
+ * never been granted it. The unit must not be granted to the owner in the meantime.
  */
-function isTakenBack(leadership: Leadership, unit: Unit, progress: UnitProgress): boolean {
+function isWithdrawnByPendingWrite(leadership: Leadership, unit: Unit, progress: UnitProgress): boolean {
   if (leadership.write === null || progress.ownerMayHold) {
     return false;
   }
@@ -86,29 +89,34 @@
   if (lease.ended || progress.callsInFlight > 0 || progress.fenceRefused) {
     return;
   }
-  if (lease.unanswered > 0 && !wantsRest(context, unit.owner)) {
-    probe(context, leadership, unit);
+  if (lease.unanswered > 0 && !isBackingOff(context, unit.owner)) {
+    probeOwner(context, leadership, unit);
     return;
   }
-  if (context.now < progress.nextCallAt || isTakenBack(leadership, unit, progress)) {
+  if (context.now < progress.nextCallAt || isWithdrawnByPendingWrite(leadership, unit, progress)) {
     return;
   }
-  const hold = Math.min(LEASE, context.state.bounds.longestLease);
+  const leaseDuration = Math.min(LEASE, context.state.bounds.longestLease);
   progress.nextCallAt = context.now + RENEWAL_INTERVAL;
-  if (callServer(context, leadership, unit, unit.owner, 'grant', unit.fence, hold, CONTROL_PATIENCE)) {
+  if (callServer(context, leadership, unit, unit.owner, 'grant', unit.fence, leaseDuration, CONTROL_PATIENCE)) {
     progress.callsInFlight += 1;
     progress.ownerMayHold = true;
-    noteGrantSent(lease, hold, context.now);
+    noteGrantSent(lease, leaseDuration, context.now);
   }
 }
 
-/** A probe is a request, which a server that wants rest is spared; renewals are none. */
-function wantsRest({ state, now }: RouterContext, server: ServerId): boolean {
+/**
+ * Returns whether the server asked for a back-off. Probes count as requests and are withheld meanwhile;
+ * renewals do not.
+ */
+function isBackingOff({ state, now }: RouterContext, server: ServerId): boolean {
   return (state.servers.get(server)?.rest.left(now) ?? 0) > 0;
 }
 
-/** Asks a server that left a call unanswered whether it lives, and whether it is the same one still. */
-function probe(context: RouterContext, leadership: Leadership, unit: Unit): void {
+/**
+ * Probes a server that left a call unanswered, to learn whether it is alive and still the same incarnation.
+ */
+function probeOwner(context: RouterContext, leadership: Leadership, unit: Unit): void {
   const lease = leaseOf(leadership, unit.owner);
   if (lease.probeInFlight || context.now < lease.nextProbeAt) {
     return;
@@ -124,8 +132,8 @@
   server: ServerId,
   action: PendingCall['action'],
   fence: number,
-  hold: Milliseconds,
-  patience: Milliseconds,
+  leaseDuration: Milliseconds,
+  timeout: Milliseconds,
 ): boolean {
   const address = context.state.servers.get(server)?.server.address ?? leadership.addresses.get(server);
   if (address === undefined) {
@@ -142,17 +150,17 @@
     from,
     to,
     fence,
-    hold,
+    hold: leaseDuration,
     handover,
-    patience,
+    patience: timeout,
     healthPath: context.state.configuration?.services.get(unit.service)?.healthPath ?? DEFAULT_HEALTH_PATH,
   });
-  const call: PendingCall = { action, server, unit: unitName(unit), fence, lease: hold, sentAt: context.now };
+  const call: PendingCall = { action, server, unit: unitName(unit), fence, lease: leaseDuration, sentAt: context.now };
   leadership.calls.set(callId, call);
   return true;
 }
 
-/** A call to a server ended. */
+/** Handles the end of a call to a server. */
 export function receiveControlEnded(
   context: RouterContext,
   leadership: Leadership,
@@ -163,7 +171,7 @@
     return;
   }
   leadership.calls.delete(event.callId);
-  noteOutcome(context, leadership, call, event.outcome);
+  recordOutcome(context, leadership, call, event.outcome);
   if (call.action === 'probe') {
     leaseOf(leadership, call.server).probeInFlight = false;
     return;
@@ -174,24 +182,25 @@
     return;
   }
   if (call.action === 'release' && call.fence === unit.fence - 1) {
-    concludeRelease(context, progress, unit, call.server, event.outcome);
+    handleReleaseOutcome(context, progress, unit, call.server, event.outcome);
   } else if (call.action === 'grant' && call.fence === unit.fence) {
     progress.callsInFlight = Math.max(0, progress.callsInFlight - 1);
-    concludeGrant(context, leadership, unit, progress, event.outcome);
+    handleGrantOutcome(context, leadership, unit, progress, event.outcome);
   }
 }
 
-function noteOutcome(
+function recordOutcome(
   context: RouterContext,
   leadership: Leadership,
   call: PendingCall,
   outcome: ControlOutcome,
 ): void {
   const { counters } = context.state;
-  const wasSilent = leaseOf(leadership, call.server).silent;
+  const wasUnresponsive = leaseOf(leadership, call.server).silent;
   switch (outcome.kind) {
     case 'rejected':
-      // Whoever rejects a call like this may be another server.
+      // A rejection with a status may come from another server at the address, so it does not count as an
+      // answer.
       counters.control_rejected += 1;
       noteNoAnswer(leadership, call, false, context.now);
       break;
@@ -206,14 +215,14 @@
     default:
       noteAnswer(leadership, call, context.now);
   }
-  const { silent } = leaseOf(leadership, call.server);
-  if (silent !== wasSilent) {
-    context.log(silent ? 'server_silent' : 'server_answers', { server: call.server, outcome: outcome.kind });
+  const { silent: isUnresponsive } = leaseOf(leadership, call.server);
+  if (isUnresponsive !== wasUnresponsive) {
+    context.log(isUnresponsive ? 'server_silent' : 'server_answers', { server: call.server, outcome: outcome.kind });
     leadership.nextPlanAt = context.now;
   }
 }
 
-function concludeRelease(
+function handleReleaseOutcome(
   context: RouterContext,
   progress: UnitProgress,
   unit: Unit,
@@ -223,9 +232,10 @@
   if (progress.phase !== 'releasing') {
     return;
   }
-  // Whoever refuses a call for a successor may be the former owner itself, if an entry named a wrong address.
-  const isGone = outcome.kind === 'otherInstance' && called === unit.releasing;
-  if (outcome.kind === 'accepted' || isGone) {
+  // Only the refusal of a call to the former owner itself proves that it has ended. The refusal of a call to
+  // its successor may come from the former owner, if an entry of the server list named a wrong address.
+  const hasFormerEnded = outcome.kind === 'otherInstance' && called === unit.releasing;
+  if (outcome.kind === 'accepted' || hasFormerEnded) {
     progress.phase = 'granting';
     progress.handover = outcome.kind === 'accepted' ? outcome.handover : null;
     progress.nextCallAt = context.now;
@@ -233,7 +243,7 @@
   }
 }
 
-function concludeGrant(
+function handleGrantOutcome(
   context: RouterContext,
   leadership: Leadership,
   unit: Unit,
@@ -264,18 +274,21 @@
   }
 }
 
-/** Units whose owner has seen a higher fence on some of the keys get fresh ones, all in one write. */
+/**
+ * Assigns new fences to the units whose owner has seen a higher fence on some of their keys, in one table
+ * write.
+ */
 export function raiseRefusedFences(context: RouterContext, leadership: Leadership): void {
   let { table } = leadership;
   const units = table.units.map((unit) => {
     if (leadership.progress.get(unitName(unit))?.fenceRefused !== true) {
       return unit;
     }
-    const taken = takeFences(table);
-    table = taken.table;
+    const allocated = takeFences(table);
+    table = allocated.table;
     const { owner, fence } = unit;
-    context.log('fence_raised', { unit: unitName(unit), owner, from: fence, to: taken.fence });
-    return { ...unit, fence: taken.fence, releasing: null };
+    context.log('fence_raised', { unit: unitName(unit), owner, from: fence, to: allocated.fence });
+    return { ...unit, fence: allocated.fence, releasing: null };
   });
   if (table !== leadership.table) {
     writeTable(context, leadership, withUnits(table, units));
