--- a/test/router/ownership/test-assignment-plan.ts
+++ b/test/router/ownership/test-assignment-plan.ts
@@ -26,8 +26,8 @@
   return { service: 'racks', servers: known, rates, mobility };
 }
 
-/** Plans until nothing changes. */
-function settle(table: OwnershipTable, plan: PlanInput): OwnershipTable {
+/** Plans repeatedly until nothing changes. */
+function planUntilStable(table: OwnershipTable, plan: PlanInput): OwnershipTable {
   let current = table;
   for (let round = 0; round < 30; round += 1) {
     const next = planService(current, plan);
@@ -36,7 +36,7 @@
     }
     current = next;
   }
-  throw new Error('the plan does not settle');
+  throw new Error('the plan did not become stable');
 }
 
 function loadOf(table: OwnershipTable, rates: KeyRate[], owner: string): number {
@@ -45,13 +45,13 @@
   return rates.reduce((sum, { key, rate }) => (owned(key) ? sum + rate : sum), 0);
 }
 
-/** A unit between whole keys. */
-function wholeKeys(unit: Unit): Unit {
+/** Rounds the bounds of a unit to whole keys. */
+function roundToWholeKeys(unit: Unit): Unit {
   return { ...unit, from: Math.ceil(unit.from), to: Math.ceil(unit.to + 1) - 1 };
 }
 
-/** Every key belongs to exactly one unit. */
-function isWhole(units: readonly Unit[]): boolean {
+/** Returns whether every key belongs to exactly one unit. */
+function coversEveryKeyOnce(units: readonly Unit[]): boolean {
   let next = 0;
   for (const unit of units) {
     if (unit.from !== next || unit.to < unit.from) {
@@ -62,31 +62,31 @@
   return next === LAST_KEY + 1;
 }
 
-describe('the plan of assignments', () => {
-  it('divides all keys among all servers at first', () => {
+describe('the assignment plan', () => {
+  it('divides all keys among all servers in the first assignment', () => {
     const table = planService(EMPTY_TABLE, input(servers(20, 20, 20, 20), []));
     expect(table.units.length).toEqual(4);
-    expect(isWhole(table.units)).toEqual(true);
+    expect(coversEveryKeyOnce(table.units)).toEqual(true);
     expect(new Set(table.units.map((unit) => unit.owner)).size).toEqual(4);
     expect(new Set(table.units.map((unit) => unit.fence)).size).toEqual(4);
   });
 
-  it('gives the units of a server that is gone to others, with higher fences', () => {
+  it('reassigns the units of a removed server to others, with higher fences', () => {
     const all = servers(20, 20, 20);
     const before = planService(EMPTY_TABLE, input(all, []));
     const after = planService(before, input(all.slice(1), []));
     const moved = after.units.find((unit) => unit.releasing === 's0');
     expect(after.units.some((unit) => unit.owner === 's0')).toEqual(false);
     expect((moved?.fence ?? 0) > Math.max(...before.units.map((unit) => unit.fence))).toEqual(true);
-    expect(isWhole(after.units)).toEqual(true);
+    expect(coversEveryKeyOnce(after.units)).toEqual(true);
   });
 
-  it('spreads hot neighbours over servers by moving few keys', () => {
+  it('spreads adjacent hot keys over servers by moving few keys', () => {
     const known = servers(20, 20, 20, 20);
     const rates = Array.from({ length: 40 }, (_, index) => ({ key: 30_000 + index, rate: 1 }));
     const before = planService(EMPTY_TABLE, input(known, []));
-    const after = settle(before, input(known, rates));
-    expect(isWhole(after.units)).toEqual(true);
+    const after = planUntilStable(before, input(known, rates));
+    expect(coversEveryKeyOnce(after.units)).toEqual(true);
     for (const server of known) {
       expect(loadOf(after, rates, server.id) <= 20 * 0.8).toEqual(true);
     }
@@ -96,8 +96,9 @@
     expect(movedKeys < 1_000).toEqual(true);
   });
 
-  // Found by a played day of 69 servers: their first load came onto one of them and left it 8 parts at a time.
-  it('spreads over many servers with few plans', () => {
+  // With a fixed limit of 8 moves per plan, the first load of 69 servers fell on one server and was moved off
+  // only 8 parts at a time.
+  it('spreads load over many servers within few plans', () => {
     const known = servers(...Array.from({ length: 60 }, () => 20));
     const rates = Array.from({ length: 600 }, (_, index) => ({ key: 30_000 + index, rate: 1 }));
     const first = planService(EMPTY_TABLE, input(known, []));
@@ -107,17 +108,18 @@
     expect(used.length >= 35).toEqual(true);
   });
 
-  it('gives one key that is too much for its server to the fastest one', () => {
+  it('assigns a key whose load exceeds its server to the fastest server', () => {
     const known = servers(20, 20, 60, 20);
     const rates = [{ key: 10, rate: 30 }];
     const before = planService(EMPTY_TABLE, input(known, []));
-    const after = settle(before, input(known, rates));
+    const after = planUntilStable(before, input(known, rates));
     expect(loadOf(after, rates, 's2')).toEqual(30);
     expect(after.units.find((unit) => unit.from <= 10 && 10 <= unit.to)?.to).toEqual(10);
   });
 
-  // Found by a played day: at 178 units nothing was moved any more, while servers stood idle beside a full one.
-  it('moves units whole when there are as many as there may be', () => {
+  // Guards against a plan that moves nothing at the limit on units (178 of them), although servers are idle
+  // beside one at capacity.
+  it('moves whole units when the limit on units is reached', () => {
     const known = servers(200, 200);
     const keys = LAST_KEY + 1;
     const units = Array.from({ length: 40 }, (_, index): Unit => {
@@ -133,75 +135,75 @@
       };
     });
     const rates = Array.from({ length: 40 }, (_, index) => ({ key: (index * keys) / 40 + 9, rate: 7 }));
-    const before: OwnershipTable = { term: 1, nextFence: 100, units: units.map(wholeKeys) };
-    const after = settle(before, input(known, rates));
+    const before: OwnershipTable = { term: 1, nextFence: 100, units: units.map(roundToWholeKeys) };
+    const after = planUntilStable(before, input(known, rates));
     expect(after.units.length).toEqual(40);
-    expect(isWhole(after.units)).toEqual(true);
+    expect(coversEveryKeyOnce(after.units)).toEqual(true);
     expect(loadOf(after, rates, 's0') <= 200 * 0.85).toEqual(true);
   });
 
-  it('gives the units of a server that is gone to the ones with the least to do', () => {
+  it('reassigns the units of a removed server to the least utilised servers', () => {
     const all = servers(20, 20, 20, 20);
     const before = planService(EMPTY_TABLE, input(all, []));
-    const [gone, ...others] = before.units;
-    // Of the others only the last has nothing to do.
+    const [removed, ...others] = before.units;
+    // Of the other servers, only the last has no load.
     const rates = others.slice(0, -1).map((unit) => ({ key: unit.from, rate: 5 }));
-    const rest = all.filter((server) => server.id !== gone?.owner);
-    const after = planService(before, input(rest, rates));
+    const remaining = all.filter((server) => server.id !== removed?.owner);
+    const after = planService(before, input(remaining, rates));
     expect(after.units[0]?.owner).toEqual(others.at(-1)?.owner);
   });
 
-  // Found by a played day: wide keys of little load each filled their owner for 18 s beside idle servers, since a
-  // move was weighed by its keys alone.
-  it('relieves a full server also of load that is spread thin over many keys', () => {
+  // Guards against weighing a move by its number of keys alone: wide ranges with little load per key then
+  // kept their owners at capacity for 18 s beside idle servers.
+  it('relieves a server at capacity of load that is spread over many keys', () => {
     const known = servers(80, 80, 80, 80);
     const rates = Array.from({ length: 2_000 }, (_, index) => ({ key: index * 32 + 3, rate: 0.06 }));
-    // Only one of them was known at first.
+    // Only one server was known at first.
     const before = planService(EMPTY_TABLE, input(known.slice(0, 1), []));
-    const after = settle(before, input(known, rates));
+    const after = planUntilStable(before, input(known, rates));
     for (const server of known) {
       expect(loadOf(after, rates, server.id) <= 80 * 0.85).toEqual(true);
     }
   });
 
-  // Found by a played day: a key that asked more than any server can do changed its owner each half second.
-  it('leaves a key that is too much for every server where it is, and moves the rest off its owner', () => {
+  // Guards against moves of a key whose load exceeds every server: its owner changed every half second.
+  it('leaves a key whose load exceeds every server with its owner, and moves the other keys off that owner', () => {
     const known = servers(80, 85, 90, 80);
     const hot = { key: 30_000, rate: 110 };
     const cold = Array.from({ length: 200 }, (_, index) => ({ key: index * 327, rate: 0.4 }));
     const rates = [...cold, hot].sort((left, right) => left.key - right.key);
     const first = planService(EMPTY_TABLE, input(known, []));
-    const before = settle(first, input(known, rates));
+    const before = planUntilStable(first, input(known, rates));
     const owner = before.units.find((unit) => unit.from <= hot.key && hot.key <= unit.to)?.owner;
     expect(loadOf(before, rates, owner ?? '') < 112).toEqual(true);
     const random = new SeededRandom(7);
     for (let round = 0; round < 40; round += 1) {
-      // Capacities and rates are estimates, and the owner's looks worst.
-      const seen = known.map((server) => {
+      // Capacities and rates are estimates, and the capacity of the owner is estimated lowest.
+      const estimated = known.map((server) => {
         const error = (server.id === owner ? 0.85 : 0.95) + 0.1 * random.fraction();
         return { ...server, room: { ...server.room, capacity: server.room.capacity * error } };
       });
       const noisy = rates.map(({ key, rate }) => ({ key, rate: rate * (0.85 + 0.3 * random.fraction()) }));
-      expect(planService(before, input(seen, noisy))).toEqual(before);
+      expect(planService(before, input(estimated, noisy))).toEqual(before);
     }
   });
 
-  it('leaves a balanced table alone', () => {
+  it('does not change a balanced table', () => {
     const known = servers(20, 20, 20, 20);
     const rates = Array.from({ length: 64 }, (_, index) => ({ key: index * 1_024 + 5, rate: 0.7 }));
     const before = planService(EMPTY_TABLE, input(known, []));
     expect(planService(before, input(known, rates))).toEqual(before);
   });
 
-  it('moves nothing that must stay', () => {
+  it('does not move units that must stay', () => {
     const all = servers(20, 20, 20);
     const before = planService(EMPTY_TABLE, input(all, []));
-    const stuck = { ...input(all.slice(1), []), mobility: () => null };
-    expect(planService(before, stuck)).toEqual(before);
+    const immovable = { ...input(all.slice(1), []), mobility: () => null };
+    expect(planService(before, immovable)).toEqual(before);
   });
 });
 
-describe('joining units', () => {
+describe('merging units', () => {
   const unit = (from: number, to: number, owner: string, fence: number): Unit => {
     return { service: 'racks', from, to, owner, fence, releasing: null };
   };
@@ -211,22 +213,22 @@
     units: [unit(0, 9, 'a', 3), unit(10, 19, 'a', 7), unit(20, 29, 'a', 5), unit(30, LAST_KEY, 'b', 9)],
   };
 
-  it('joins neighbours of one owner under a fence above theirs', () => {
-    const joined = joinUnits(table, () => true);
-    expect(joined.units.map(({ from, to, owner }) => [from, to, owner])).toEqual([
+  it('merges adjacent units of one owner under a fence above theirs', () => {
+    const merged = joinUnits(table, () => true);
+    expect(merged.units.map(({ from, to, owner }) => [from, to, owner])).toEqual([
       [0, 29, 'a'],
       [30, LAST_KEY, 'b'],
     ]);
-    expect((joined.units[0]?.fence ?? 0) >= 20).toEqual(true);
-    expect(joined.nextFence > (joined.units[0]?.fence ?? 0)).toEqual(true);
+    expect((merged.units[0]?.fence ?? 0) >= 20).toEqual(true);
+    expect(merged.nextFence > (merged.units[0]?.fence ?? 0)).toEqual(true);
   });
 
-  it('does not join what may not be joined', () => {
-    const joined = joinUnits(table, (candidate) => candidate.from !== 10);
-    expect(joined).toEqual(table);
+  it('does not merge units that must not be merged', () => {
+    const merged = joinUnits(table, (candidate) => candidate.from !== 10);
+    expect(merged).toEqual(table);
   });
 
-  it('gives nothing to cold servers while there are warm ones, and takes nothing from them', () => {
+  it('assigns no units to cold servers while there are warm ones, and moves none off them', () => {
     const [first, second, third] = servers(20, 20, 20) as [EligibleServer, EligibleServer, EligibleServer];
     const table = planService(EMPTY_TABLE, input([first, { ...second, isCold: true }, third], []));
     expect(table.units.some((unit) => unit.owner === 's1')).toEqual(false);
@@ -235,7 +237,7 @@
       { key: 3, rate: 19 },
       { key: 40_000, rate: 3 },
     ];
-    const later = settle(
+    const later = planUntilStable(
       warm,
       input([{ ...first, isCold: true }, { ...second, isCold: true }, third], rates),
     );
@@ -245,7 +247,7 @@
     }
   });
 
-  it('gives keys to cold servers when there are no others', () => {
+  it('assigns units to cold servers when there are no others', () => {
     const cold = servers(20, 20).map((server) => ({ ...server, isCold: true }));
     expect(planService(EMPTY_TABLE, input(cold, [])).units.length > 0).toEqual(true);
   });
--- a/test/router/ownership/test-election-reads.ts
+++ b/test/router/ownership/test-election-reads.ts
@@ -8,7 +8,10 @@
 const OUTAGE = 5_000;
 const TICK = 20;
 
-/** How often each object is read by a daemon without a leader while the store refuses every call at once. */
+/**
+ * Returns how often a daemon without a leader reads each object while the store refuses every request at
+ * once.
+ */
 function readsInOutage(): Record<StoredName, number> {
   const state = createRouterState({ daemon: 'd', zone: 'z', peerAddress: '10.0.0.9:1', life: 1 }, BOUNDS, 1);
   const reads = { leader: 0, ownership: 0, quarantines: 0 };
@@ -25,8 +28,9 @@
 }
 
 describe('a daemon without a leader', () => {
-  // Found by a played day: 20 daemons asked a store that refused every call 480 times in 5 s, and each call is paid for.
-  it('asks a store that refuses ever more seldom', () => {
+  // At a fixed interval, 20 daemons sent 480 requests in 5 s to a store that refused every one, and each
+  // request is paid for.
+  it('reads a store that refuses requests at growing intervals', () => {
     const { leader, ownership, quarantines } = readsInOutage();
     expect(leader <= 8 && leader >= 4).toEqual(true);
     expect(ownership <= 1).toEqual(true);
--- a/test/router/ownership/test-first-assignment.ts
+++ b/test/router/ownership/test-first-assignment.ts
@@ -5,7 +5,7 @@
 const APPEARANCE_INTERVAL = 400;
 const LATE_SERVERS = 8;
 
-/** Servers that become known one after the other, as when a deployment starts. */
+/** Adds servers that become known one after the other, as when a deployment starts. */
 function addServersOneByOne(world: RouterWorld): void {
   for (let index = 0; index < LATE_SERVERS; index += 1) {
     world.clock.after((index + 1) * APPEARANCE_INTERVAL, () => world.addServer(`10.0.3.${index}:80`));
@@ -17,9 +17,9 @@
 }
 
 describe('the first assignment', () => {
-  // Found by a played day: one of eleven servers was known after a second, got every key, and was overloaded for
-  // 18 s while the others had room.
-  it('waits while servers go on appearing and nobody asks for keys', () => {
+  // Without the wait, one of eleven servers was known after a second, was assigned every key, and was
+  // overloaded for 18 s while the others had spare capacity.
+  it('waits while servers keep becoming known and no keys are requested', () => {
     for (let seed = 1; seed <= 3; seed += 1) {
       const world = new RouterWorld(seed, 3, 1);
       addServersOneByOne(world);
@@ -30,14 +30,14 @@
     }
   });
 
-  it('does not wait when callers ask for keys', () => {
+  it('does not wait when callers request keys', () => {
     const world = new RouterWorld(1, 3, 1);
     addServersOneByOne(world);
-    const ask = (): void => {
+    const sendRequest = (): void => {
       world.ask([7]);
-      world.clock.after(100, ask);
+      world.clock.after(100, sendRequest);
     };
-    world.clock.after(500, ask);
+    world.clock.after(500, sendRequest);
     world.clock.runUntil(1_900);
     expect(world.unservedKeys()).toEqual([]);
   });
--- a/test/router/ownership/test-isolation.ts
+++ b/test/router/ownership/test-isolation.ts
@@ -10,7 +10,7 @@
 
 const TURNED_AWAY: AttemptResult = { kind: 'rejected', status: 421, misdirected: true, load: null };
 
-/** A follower with a view of ownership, and its time. */
+/** A simulated follower with a view of ownership and a clock of its own. */
 class Follower {
   now = 1_000;
   readonly state: RouterState;
@@ -23,8 +23,8 @@
       1,
     );
     this.event({ kind: 'configuration', configuration: CONFIGURATION, revision: 1 });
-    const place = { id: 's1', service: SERVICE, address: '10.0.0.1:80', zone: 'z', slots: 4 };
-    const server = { ...place, draining: false, warmupLeft: 0, listedAt: 1, revision: 1 };
+    const description = { id: 's1', service: SERVICE, address: '10.0.0.1:80', zone: 'z', slots: 4 };
+    const server = { ...description, draining: false, warmupLeft: 0, listedAt: 1, revision: 1 };
     this.event({ kind: 'serversListed', servers: [server], revision: 5 });
     this.readLeader();
     const unit = { service: SERVICE, from: 0, to: 65_535, owner: 's1', fence: 3, granted: true };
@@ -37,24 +37,24 @@
   }
 
   readLeader(): void {
-    const place = { term: 1, daemon: 'other', life: 7, address: '10.0.0.8:1' };
-    const value = { ...place, beat: 1, settled: true, resigned: false };
+    const description = { term: 1, daemon: 'other', life: 7, address: '10.0.0.8:1' };
+    const value = { ...description, beat: 1, settled: true, resigned: false };
     const outcome = { kind: 'found', revision: 3, value } as const;
     this.event({ kind: 'objectRead', object: 'leader', sentAt: this.now, outcome });
   }
 
-  /** Lets time pass without any news. */
+  /** Advances the time without any updates. */
   pass(milliseconds: number): void {
     for (const end = this.now + milliseconds; this.now < end; this.now += 20) {
       this.event({ kind: 'tick' });
     }
   }
 
-  /** A request that its owner turns away. */
+  /** Sends a request that its owner rejects. */
   turnAway(): void {
     const requestId = this.#nextRequest;
     this.#nextRequest += 1;
-    const place = { method: 'GET', host: 'h.example', target: '/racks/1', callerPatience: 900, key: 7 };
+    const description = { method: 'GET', host: 'h.example', target: '/racks/1', callerPatience: 900, key: 7 };
     const fingerprint = fingerprintOf(`request ${requestId}`);
     this.event({
       kind: 'requestArrived',
@@ -62,7 +62,7 @@
       attemptId: `a-${requestId}`,
       fingerprint,
       readDelay: 0,
-      ...place,
+      ...description,
     });
     this.event({ kind: 'attemptEnded', requestId, attempt: 1, result: TURNED_AWAY });
     this.event({ kind: 'tick' });
@@ -73,9 +73,10 @@
   }
 }
 
-// Found by a played day: daemons cut off for 12 s turned 200 requests a second away with a view that was long old.
-describe('a daemon without news', () => {
-  it('is not ready while it is cut off and owners turn its requests away, and is ready again with news', () => {
+// Guards against daemons that are cut off but stay ready: for 12 s they rejected 200 requests per second by a
+// view that had long been stale.
+describe('a daemon without ownership updates', () => {
+  it('is not ready while it is cut off and owners reject its requests, and is ready again after an update', () => {
     const follower = new Follower();
     follower.pass(2_000);
     for (let request = 0; request < 3; request += 1) {
@@ -87,13 +88,13 @@
     expect(follower.isReady).toEqual(true);
   });
 
-  it('stays ready while what it believes holds', () => {
+  it('stays ready while its view proves correct', () => {
     const follower = new Follower();
     follower.pass(6_000);
     expect(follower.isReady).toEqual(true);
   });
 
-  it('stays ready when owners turn requests away but news can be had', () => {
+  it('stays ready when owners reject requests but updates are available', () => {
     const follower = new Follower();
     for (let request = 0; request < 6; request += 1) {
       follower.turnAway();
--- a/test/router/ownership/test-planned-stop.ts
+++ b/test/router/ownership/test-planned-stop.ts
@@ -2,8 +2,8 @@
 import { describe, it } from 'node:test';
 import { RouterWorld } from '../support/router-world.js';
 
-describe('a leader that stops as planned', () => {
-  // Found by a recorded day: the daemon read its own resigned record and entered the table again.
+describe('a leader that is stopped as planned', () => {
+  // Guards against a leader that resigns, reads its own resigned record, and claims the table again.
   it('does not lead again before its process ends', () => {
     for (let seed = 1; seed <= 10; seed += 1) {
       const world = new RouterWorld(seed);
@@ -24,7 +24,7 @@
     }
   });
 
-  it('drops a candidacy that is under way', () => {
+  it('drops its candidacy', () => {
     const world = new RouterWorld(1, 1);
     const [daemon] = world.daemons;
     if (daemon === undefined) {
--- a/test/router/ownership/test-refused-fence.ts
+++ b/test/router/ownership/test-refused-fence.ts
@@ -4,8 +4,8 @@
 import { LAST_KEY } from '../../../src/router/model/identifiers.js';
 import { RouterWorld, SERVICE } from '../support/router-world.js';
 
-/** Closes every key of a server for fences below the next one. */
-function closeAll(world: RouterWorld, fence: number): string {
+/** Releases every key of a server under a fence, so that the server refuses grants with lower fences. */
+function releaseAllKeys(world: RouterWorld, fence: number): string {
   const [server] = world.servers;
   if (server === undefined) {
     throw new Error('no server');
@@ -29,23 +29,23 @@
 }
 
 describe('a grant that was refused for its fence', () => {
-  it('is not repeated with that fence while the store takes no write', () => {
+  it('is not retried with that fence while the store accepts no writes', () => {
     const world = new RouterWorld(1);
     world.clock.runUntil(6_000);
     const table = world.leader()?.state.leadership?.table;
     world.store.downUntil = world.clock.now + 4_000;
-    closeAll(world, table?.nextFence ?? 0);
+    releaseAllKeys(world, table?.nextFence ?? 0);
     world.clock.runUntil(world.clock.now + 3_900);
     const units = table?.units.filter((unit) => unit.owner === world.servers[0]?.id) ?? [];
     expect(units.length > 0).toEqual(true);
     expect(world.servers[0]?.refused.length).toEqual(units.length);
   });
 
-  it('is made again with a fresh fence once the store takes it', () => {
+  it('is retried with a new fence once the store accepts writes', () => {
     const world = new RouterWorld(1);
     world.clock.runUntil(6_000);
     world.store.downUntil = world.clock.now + 2_000;
-    closeAll(world, (world.leader()?.state.leadership?.table.nextFence ?? 0) - 1);
+    releaseAllKeys(world, (world.leader()?.state.leadership?.table.nextFence ?? 0) - 1);
     world.clock.runUntil(world.clock.now + 5_000);
     expect(world.unservedKeys()).toEqual([]);
     expect(world.checker.violations).toEqual([]);
--- a/test/router/ownership/test-server-lives.ts
+++ b/test/router/ownership/test-server-lives.ts
@@ -1,7 +1,9 @@
 /*
- * An owner of keys crashed, and another server, or the same one again, answered at its address before the list said so. The leader's renewals
- * went there, since the address was still the former owner's, and were taken: nobody is bound to check for whom a grant is. Once
- * the list named the newcomer, the leader took the former owner as ended and gave its keys to a third server at once: two owners.
+ * The owner of keys crashed, and another server, or a new incarnation of the same one, answered at its
+ * address before the server list said so. The leader still sent renewals to that address, and they were
+ * accepted, since servers need not check for whom a grant is meant. Once the list named the new server, the
+ * leader considered the former owner ended and reassigned its keys to a third server at once, so the keys had
+ * two owners.
  */
 import { expect } from 'earl';
 import { describe, it } from 'node:test';
@@ -14,22 +16,25 @@
 import { server, SingleDaemon } from '../support/single-daemon.js';
 
 const SETTLED = 6_000;
-/** An owner's renewals go on meanwhile: one each 850 ms. */
+/** Time until the server list changes. The renewals of the owner continue meanwhile, one every 850 ms. */
 const UNLISTED = 1_000;
-/** A server that has just started gets no keys while others can take them. */
+/** A server that has just started is assigned no keys while other servers can take them. */
 const COLD_AND_UNLISTED = { listedAfter: UNLISTED, warmupLeft: 8_000 };
 
 function ownerIn(world: RouterWorld): ModelServer {
   return world.servers.find(({ alive, holdings }) => alive && holdings.size > 0) as ModelServer;
 }
 
-/** A grant that comes to the wrong server has the fence that the right one had: no daemon can help that. */
-function twoOwners(world: RouterWorld): string[] {
+/**
+ * Returns the violations in which two servers hold a key. Others are expected: a grant that reaches the wrong
+ * server has the fence that the right one had, which no daemon can prevent.
+ */
+function doubleOwnerships(world: RouterWorld): string[] {
   return world.checker.violations.filter((violation) => violation.includes(' holds it '));
 }
 
 describe('keys of an owner that has ended', () => {
-  it('stay with one server when the next one at its address takes what was meant for it', () => {
+  it('have one owner when the next server at its address accepts grants that were meant for it', () => {
     for (let seed = 1; seed <= 20; seed += 1) {
       const world = new RouterWorld(seed, 3, 5);
       world.clock.runUntil(SETTLED + seed * 37);
@@ -39,12 +44,12 @@
       next.checksName = false;
       world.clock.after(UNLISTED, () => world.unlist(owner.id));
       world.clock.runUntil(SETTLED + 12_000);
-      expect(twoOwners(world)).toEqual([]);
+      expect(doubleOwnerships(world)).toEqual([]);
       expect(world.unservedKeys()).toEqual([]);
     }
   });
 
-  it('are granted anew under a higher fence when it is back under its name within a heartbeat', () => {
+  it('are granted again under a higher fence when the owner restarts under its name within a heartbeat', () => {
     for (let seed = 1; seed <= 20; seed += 1) {
       const world = new RouterWorld(seed, 3, 5);
       world.clock.runUntil(SETTLED + seed * 37);
@@ -59,7 +64,7 @@
     }
   });
 
-  it('are granted anew though its clock was set back meanwhile', () => {
+  it('are granted again although the clock of the owner was set back between its incarnations', () => {
     const world = new RouterWorld(7, 3, 5);
     world.clock.runUntil(SETTLED);
     const former = ownerIn(world);
@@ -76,8 +81,8 @@
   });
 });
 
-describe('what is known of a life', () => {
-  it('is not known of the next one under its name', () => {
+describe('what is known of an incarnation', () => {
+  it('is not carried over to the next incarnation under its name', () => {
     const daemon = new SingleDaemon();
     const changes = [{ id: 's1', server: { ...server('s1#1'), address: '10.0.0.1:80', revision: 6 } }];
     daemon.event({ kind: 'serversChanged', changes, revision: 6 });
@@ -91,7 +96,7 @@
     expect([known?.drainingSince, known?.rest.left(daemon.now)]).toEqual([null, 0]);
   });
 
-  it('is not brought back by an entry that was written before', () => {
+  it('is not restored by an older entry of the server list', () => {
     const daemon = new SingleDaemon();
     const entry = (born: number, revision: number): ServerChange => ({
       id: 's1',
@@ -103,7 +108,7 @@
     expect([...daemon.state.servers.keys()]).not.toInclude('s1#1');
   });
 
-  it('makes three ends under one name three ends', () => {
+  it('counts the ends of three incarnations under one name as three', () => {
     const table = new CrashTable();
     const ended = [1, 2, 3].map((born) => ({ server: buildServerId('s1', born), age: born * 1_000 }));
     const none = { exonerated: [], quarantined: false, retested: false };
@@ -111,7 +116,7 @@
     expect(table.endsUnder(fingerprintOf('deadly'))).toEqual(3);
   });
 
-  it('has an id from which its name can be read, whatever the name is', () => {
+  it('has an id from which the server name can be read, whatever the name is', () => {
     for (const name of ['i-1', 'i#1', 'i#', '#', 'i-1#2#']) {
       expect(instanceOf(buildServerId(name, null))).toEqual(name);
       expect(instanceOf(buildServerId(name, 7))).toEqual(name);
--- a/test/router/ownership/test-suspension.ts
+++ b/test/router/ownership/test-suspension.ts
@@ -1,12 +1,15 @@
 /**
- * A leader's machine was suspended for some seconds and a server was cut off; another daemon took over, waited for the server's leases to
- * end, and gave its keys to others. Then the server was back and the machine went on, and the first thing that its process did, before any
- * answer of the store, was to renew the leases that it knew: two servers held the same keys.
+ * Guards against two owners of a key after the suspension of a leader's machine. The machine was suspended
+ * for some seconds while a server was cut off. Another daemon took over, waited for the leases of the server
+ * to expire, and reassigned its keys. When the server was reachable again and the machine resumed, the former
+ * leader renewed the leases that it knew before any answer of the store, so two servers held the same keys.
  *
- * The steady clock, by which a leader judges how old the confirmation of its leadership is, stands still while a machine is suspended, so
- * that no time had passed for the leader. A process that is merely stopped finds the clock ahead, and gives up.
+ * The monotonic clock, by which a leader measures the age of its last confirmation, stops while a machine is
+ * suspended, so no time had passed for the leader. A process that was merely stopped finds the clock ahead,
+ * and steps down.
  *
- * In 12 such worlds two servers held one key 9 times (`s1 takes 519 (fence 12), s4 holds it (14)`); on a clock that goes on, never.
+ * In 12 such simulations two servers held one key 9 times (`s1 takes 519 (fence 12), s4 holds it (14)`); on a
+ * clock that continues during a suspension, never.
  */
 import { expect } from 'earl';
 import { describe, it } from 'node:test';
@@ -16,23 +19,28 @@
 const SETTLED = 6_000;
 const LENGTH = 40_000;
 const SEEDS = Array.from({ length: Number(process.env['SEEDS'] ?? 12) }, (_, index) => index + 1);
-/** As under a simulator that leaves it alone: it runs by another time than all else. */
+/**
+ * A boot clock that runs independently of the simulated time, as under a simulator that does not control it.
+ */
 const FOREIGN_BOOT_CLOCK = (now: number): number => Math.floor((now * 1.7) / 10) * 10;
 
-/** Hot keys that change, so that the plan moves units all the time. */
+/** Requests hot keys that change, so that the plan keeps moving units. */
 function addLoad(world: RouterWorld): void {
-  const ask = (): void => {
+  const sendRequests = (): void => {
     const hot = 7 + 512 * ((Math.floor(world.clock.now / 2_000) * 31) % 128);
     for (let count = 0; count < 6; count += 1) {
       const cold = WATCHED_KEYS[world.random.below(WATCHED_KEYS.length)] as number;
       world.ask([world.random.fraction() < 0.6 ? hot : cold]);
     }
-    world.clock.after(50, ask);
+    world.clock.after(50, sendRequests);
   };
-  world.clock.after(1_000, ask);
+  world.clock.after(1_000, sendRequests);
 }
 
-/** Servers are cut off while the leader is away: its successor waits for their leases to end, and moves their keys. */
+/**
+ * Suspends the leader while some servers are cut off: its successor waits for their leases to expire, and
+ * moves their keys.
+ */
 function suspendLeader(world: RouterWorld): void {
   const leader = world.leader();
   if (leader !== undefined) {
@@ -44,7 +52,7 @@
   }
 }
 
-function play(seed: number, bootClock?: (now: number) => number): RouterWorld {
+function simulate(seed: number, bootClock?: (now: number) => number): RouterWorld {
   const world = new RouterWorld(seed);
   world.bootClock = bootClock ?? world.bootClock;
   addLoad(world);
@@ -56,10 +64,12 @@
 }
 
 function violations(bootClock?: (now: number) => number): string[] {
-  return SEEDS.flatMap((seed) => play(seed, bootClock).checker.violations);
+  return SEEDS.flatMap((seed) => simulate(seed, bootClock).checker.violations);
 }
 
-/** A daemon that has a request under way at a server when its machine is suspended. */
+/**
+ * Returns a simulation in which a daemon has a request in progress at a server when its machine is suspended.
+ */
 function worldWithRequest(): { world: RouterWorld; daemon: Daemon } {
   const world = new RouterWorld(1);
   world.clock.runUntil(SETTLED);
@@ -80,15 +90,15 @@
 }
 
 describe('a machine that was suspended', () => {
-  it('has given no server a key that another one holds', () => {
+  it('grants no server a key that another one holds', () => {
     expect(violations()).toEqual([]);
   });
 
-  it('has given none, either, where only the time of day tells of the suspension', () => {
+  it('grants no such key when only the wall clock shows the suspension', () => {
     expect(violations(FOREIGN_BOOT_CLOCK)).toEqual([]);
   });
 
-  it('ends requests whose callers have left long ago', () => {
+  it('ends requests whose callers left during the suspension', () => {
     const { world, daemon } = worldWithRequest();
     expect(daemon.state.requests.size).toEqual(1);
     world.suspend(daemon, 5_000);
--- a/test/router/ownership/test-takeover.ts
+++ b/test/router/ownership/test-takeover.ts
@@ -3,16 +3,16 @@
 import { WATCHED_KEYS } from '../support/model-server.js';
 import { RouterWorld } from '../support/router-world.js';
 
-/** Callers ask for neighbouring keys, so that units are cut and spread over the servers. */
-function askNeighbours(world: RouterWorld): void {
-  const ask = (): void => {
+/** Requests adjacent keys, so that units are split and spread over the servers. */
+function requestAdjacentKeys(world: RouterWorld): void {
+  const sendRequests = (): void => {
     world.ask(WATCHED_KEYS.slice(0, 24));
-    world.clock.after(300, ask);
+    world.clock.after(300, sendRequests);
   };
-  world.clock.after(1_000, ask);
+  world.clock.after(1_000, sendRequests);
 }
 
-function wonAfter(world: RouterWorld, time: number): boolean {
+function hasLeadershipBeenWonAfter(world: RouterWorld, time: number): boolean {
   return world.events.some((line) => {
     const [at, , event] = line.split(' ');
     return Number(at) > time && event === 'leadership_won';
@@ -20,12 +20,12 @@
 }
 
 describe('a new leader', () => {
-  // Found by a played day: after the loss of all machines, keys that had moved off a dead server long ago
-  // waited for that server's lease again.
+  // Guards against waiting again for old leases: after the loss of all machines, keys that had long been
+  // moved off a dead server waited for the lease of that server again.
   it('does not wait again for the former owner of a unit that was granted long ago', () => {
     for (let seed = 1; seed <= 5; seed += 1) {
       const world = new RouterWorld(seed);
-      askNeighbours(world);
+      requestAdjacentKeys(world);
       world.clock.runUntil(6_000);
       const [victim] = world.servers;
       if (victim === undefined) {
@@ -41,7 +41,7 @@
       }
       world.clock.runUntil(18_500);
       world.daemons.forEach((daemon) => world.startDaemon(daemon));
-      while (!wonAfter(world, 18_500)) {
+      while (!hasLeadershipBeenWonAfter(world, 18_500)) {
         world.clock.runUntil(world.clock.now + 10);
       }
       const waiting = [...(world.leader()?.state.leadership?.progress.values() ?? [])].filter(
@@ -52,8 +52,9 @@
     }
   });
 
-  // Found by a played day: after the loss of all machines, the first daemon to start waited 0.4 s for the leader.
-  it('takes over at once when it has just started and the process of the leader is gone', () => {
+  // Guards against a slow takeover at a restart: after the loss of all machines, the first daemon to start
+  // waited 0.4 s for the former leader.
+  it('takes over at once when it has just started and the process of the leader has ended', () => {
     for (let seed = 1; seed <= 5; seed += 1) {
       const world = new RouterWorld(seed);
       world.clock.runUntil(10_000);
@@ -65,16 +66,17 @@
       if (follower !== undefined) {
         world.startDaemon(follower);
       }
-      while (!wonAfter(world, 10_400) && world.clock.now < 13_000) {
+      while (!hasLeadershipBeenWonAfter(world, 10_400) && world.clock.now < 13_000) {
         world.clock.runUntil(world.clock.now + 10);
       }
       expect(world.clock.now - 10_400 < 700).toEqual(true);
     }
   });
 
-  // Found by a played day: the leader was lost as the store went down, and its successor watched the unchanged object for
-  // another 1.4 s after the store's return, then waited 6 s for leases that had long run out.
-  it('takes over as soon as the store is back when the leader was lost before the outage', () => {
+  // Guards against a late takeover when the leader is lost as the store goes down: its successor watched the
+  // unchanged leader record for another 1.4 s after the store was available again, and then waited 6 s for
+  // leases that had long expired.
+  it('takes over as soon as the store is available again when the leader was lost before the outage', () => {
     const outage = 4_000;
     for (let seed = 1; seed <= 5; seed += 1) {
       const world = new RouterWorld(seed, 4);
@@ -83,13 +85,13 @@
       if (leader === undefined) {
         throw new Error('no leader');
       }
-      // Cut off first: nothing at its address refuses connections either.
+      // The leader is frozen rather than ended, so its address refuses no connections.
       leader.frozenUntil = Number.POSITIVE_INFINITY;
       world.store.downUntil = 10_000 + outage;
-      while (!wonAfter(world, 10_000) && world.clock.now < 20_000) {
+      while (!hasLeadershipBeenWonAfter(world, 10_000) && world.clock.now < 20_000) {
         world.clock.runUntil(world.clock.now + 10);
       }
-      // A read that hangs in the outage ends up to a second after it.
+      // A read that is in progress in the outage ends up to a second after it.
       expect(world.clock.now - (10_000 + outage) < 1_300).toEqual(true);
       const won = world.events.find((line) => line.includes('leadership_won') && line.includes('"term":2'));
       expect(Number(/"waits_for":(\d+)/.exec(won ?? '')?.[1]) < 3_000).toEqual(true);
