--- a/src/router/ownership/service-plan.ts
+++ b/src/router/ownership/service-plan.ts
@@ -146,8 +146,8 @@
     let best: Move | undefined;
     const targets = this.#targets(hot);
     for (const unit of this.#units()) {
-      const mobility = unit.owner === hot.id ? this.#input.mobility(unit) : null;
-      if (mobility === null) {
+      const movePermission = unit.owner === hot.id ? this.#input.mobility(unit) : null;
+      if (movePermission === null) {
         continue;
       }
       for (const part of this.#partsToMove(unit, hot, targets)) {
@@ -159,7 +159,7 @@
             keys: part.to - part.from + 1,
           });
           if (value > (best?.value ?? 0)) {
-            best = { unit, part, to, mobility, value };
+            best = { unit, part, to, mobility: movePermission, value };
           }
         }
       }
