--- a/src/router/ownership/begin-leadership.ts
+++ b/src/router/ownership/begin-leadership.ts
@@ -82,7 +82,11 @@
 }
 
 /** Returns the time after which earlier leaders send no calls to servers. */
-function formerLeaderCallsEnd(context: RouterContext, candidacy: Candidacy, table: OwnershipTable): Milliseconds {
+function formerLeaderCallsEnd(
+  context: RouterContext,
+  candidacy: Candidacy,
+  table: OwnershipTable,
+): Milliseconds {
   if (table.units.length === 0) {
     return context.now;
   }
--- a/src/router/ownership/known-leader.ts
+++ b/src/router/ownership/known-leader.ts
@@ -16,7 +16,10 @@
 }
 
 /** Sends the identity of the leader to the parent and all children. */
-function sendLeaderNotice(context: RouterContext, { term, leader, leaderLife, leaderAddress }: LeaderIdentity): void {
+function sendLeaderNotice(
+  context: RouterContext,
+  { term, leader, leaderLife, leaderAddress }: LeaderIdentity,
+): void {
   const message: LeaderNotice = { kind: 'leaderNotice', term, leader, leaderLife, leaderAddress };
   context.emit({ kind: 'sendToParent', message });
   context.emit({ kind: 'sendToChildren', link: null, message });
@@ -47,7 +50,7 @@
   const { election } = context.state;
   const { term, leader, leaderLife, leaderAddress } = announced;
   const identity = { term, daemon: leader, life: leaderLife, address: leaderAddress };
-  election.leader = { ...place, beat: 0, settled: false, resigned: false };
+  election.leader = { ...identity, beat: 0, settled: false, resigned: false };
   election.leaderRevision = revision;
   election.unchangedSince = context.now;
   election.lastHeartbeatAt = Number.NEGATIVE_INFINITY;
--- a/src/router/ownership/leader-plan.ts
+++ b/src/router/ownership/leader-plan.ts
@@ -44,7 +44,11 @@
   return !isDraining && !isBackingOff && acceptsRequests && !lease.silent && !lease.ended;
 }
 
-function toEligibleServer(context: RouterContext, leadership: Leadership, known: KnownServer): EligibleServer {
+function toEligibleServer(
+  context: RouterContext,
+  leadership: Leadership,
+  known: KnownServer,
+): EligibleServer {
   const { id, zone, slots } = known.server;
   const estimator = leadership.paces.get(id);
   estimator?.judge(slots, context.now);
@@ -99,7 +103,11 @@
  * Returns whether the first assignment of a service should be delayed. Servers become known one after the
  * other when a deployment starts: the first ones would own every key, and moving keys later has a cost.
  */
-function isFirstAssignmentPremature(context: RouterContext, leadership: Leadership, service: ServiceName): boolean {
+function isFirstAssignmentPremature(
+  context: RouterContext,
+  leadership: Leadership,
+  service: ServiceName,
+): boolean {
   if (leadership.table.units.some((unit) => unit.service === service)) {
     return false;
   }
--- a/src/router/ownership/ownership-table.ts
+++ b/src/router/ownership/ownership-table.ts
@@ -109,7 +109,8 @@
       mayMerge(unit) &&
       (last.fence >= table.nextFence || mayMerge(last))
     ) {
-      const allocated = last.fence >= table.nextFence ? { table: result, fence: last.fence } : takeFences(result);
+      const allocated =
+        last.fence >= table.nextFence ? { table: result, fence: last.fence } : takeFences(result);
       result = allocated.table;
       merged[merged.length - 1] = { ...last, to: unit.to, fence: allocated.fence, releasing: null };
     } else {
--- a/src/router/ownership/server-pace.ts
+++ b/src/router/ownership/server-pace.ts
@@ -49,14 +49,18 @@
   judge(slots: number, now: Milliseconds): void {
     const period = now - this.#since;
     // A server that answers no request has no answers to count, but the time of the waiting requests.
-    const evidence = Math.max(this.#requests, this.#serviceTime === null ? 0 : this.#total / this.#serviceTime);
+    const evidence = Math.max(
+      this.#requests,
+      this.#serviceTime === null ? 0 : this.#total / this.#serviceTime,
+    );
     if (period < PERIOD || evidence < LEAST_REQUESTS) {
       return;
     }
     const answers = Math.max(1, this.#requests);
     const observed = Math.min(this.#total, slots * period) / answers;
     const weight = Math.min(MOST_WEIGHT, evidence * REQUEST_WEIGHT);
-    this.#serviceTime = this.#serviceTime === null ? observed : this.#serviceTime + (observed - this.#serviceTime) * weight;
+    this.#serviceTime =
+      this.#serviceTime === null ? observed : this.#serviceTime + (observed - this.#serviceTime) * weight;
     this.#since = now;
     this.#requests = 0;
     this.#total = 0;
--- a/src/router/ownership/table-write.ts
+++ b/src/router/ownership/table-write.ts
@@ -148,7 +148,11 @@
   }
 }
 
-function isMergedFromHeldUnits(unit: Unit, before: OwnershipTable, known: ReadonlyMap<string, UnitProgress>): boolean {
+function isMergedFromHeldUnits(
+  unit: Unit,
+  before: OwnershipTable,
+  known: ReadonlyMap<string, UnitProgress>,
+): boolean {
   const parts = before.units.filter(
     (part) => part.service === unit.service && part.from <= unit.to && part.to >= unit.from,
   );
--- a/src/router/ownership/unit-control.ts
+++ b/src/router/ownership/unit-control.ts
@@ -98,7 +98,9 @@
   }
   const leaseDuration = Math.min(LEASE, context.state.bounds.longestLease);
   progress.nextCallAt = context.now + RENEWAL_INTERVAL;
-  if (callServer(context, leadership, unit, unit.owner, 'grant', unit.fence, leaseDuration, CONTROL_PATIENCE)) {
+  if (
+    callServer(context, leadership, unit, unit.owner, 'grant', unit.fence, leaseDuration, CONTROL_PATIENCE)
+  ) {
     progress.callsInFlight += 1;
     progress.ownerMayHold = true;
     noteGrantSent(lease, leaseDuration, context.now);
@@ -155,7 +157,14 @@
     patience: timeout,
     healthPath: context.state.configuration?.services.get(unit.service)?.healthPath ?? DEFAULT_HEALTH_PATH,
   });
-  const call: PendingCall = { action, server, unit: unitName(unit), fence, lease: leaseDuration, sentAt: context.now };
+  const call: PendingCall = {
+    action,
+    server,
+    unit: unitName(unit),
+    fence,
+    lease: leaseDuration,
+    sentAt: context.now,
+  };
   leadership.calls.set(callId, call);
   return true;
 }
@@ -217,7 +226,10 @@
   }
   const { silent: isUnresponsive } = leaseOf(leadership, call.server);
   if (isUnresponsive !== wasUnresponsive) {
-    context.log(isUnresponsive ? 'server_silent' : 'server_answers', { server: call.server, outcome: outcome.kind });
+    context.log(isUnresponsive ? 'server_silent' : 'server_answers', {
+      server: call.server,
+      outcome: outcome.kind,
+    });
     leadership.nextPlanAt = context.now;
   }
 }
