--- a/src/router-runtime/router-daemon.ts
+++ b/src/router-runtime/router-daemon.ts
@@ -177,7 +177,7 @@
       this.#front.applyLimits(limits);
     }
     if (event.kind === 'tick') {
-      this.#front.closeConnections(this.state.stopping || this.state.isolation.viewIsOld);
+      this.#front.closeConnections(this.state.stopping || this.state.isolation.isViewStale);
     }
   }
 
--- a/src/router/limits/limit-probes.ts
+++ b/src/router/limits/limit-probes.ts
@@ -4,7 +4,7 @@
  */
 import type { Milliseconds, ServerId } from '../model/identifiers.js';
 import type { Leadership } from '../ownership/leadership-state.js';
-import { PROBE_PATIENCE } from '../ownership/ownership-timing.js';
+import { PROBE_TIMEOUT } from '../ownership/ownership-timing.js';
 import { probeServer } from '../probe-server.js';
 import type { RouterContext } from '../router-context.js';
 
@@ -19,7 +19,7 @@
     const lastActivityAt = Math.max(at, lastPermitOrProbeAt(leadership, server));
     if (known !== undefined && now - lastActivityAt >= IDLE_TIME_BEFORE_PROBE && known.rest.left(now) === 0) {
       leadership.limitProbedAt.set(server, now);
-      probeServer(context, known.server, PROBE_PATIENCE);
+      probeServer(context, known.server, PROBE_TIMEOUT);
     }
   }
 }
--- a/src/router/news/store-following.ts
+++ b/src/router/news/store-following.ts
@@ -6,7 +6,7 @@
 import type { Milliseconds } from '../model/identifiers.js';
 import type { RouterContext } from '../router-context.js';
 import type { RouterState } from '../router-state.js';
-import { HEARTBEAT_PATIENCE } from '../ownership/ownership-timing.js';
+import { HEARTBEAT_TIMEOUT } from '../ownership/ownership-timing.js';
 import { hasRelayParent } from '../tree/tree-state.js';
 import { newsAge } from './news-age.js';
 import { newsPatience } from './news-timing.js';
@@ -37,12 +37,12 @@
       // Callers wait, perhaps at all daemons, and then no parent has anything to tell yet.
       return true;
     }
-    const isConnecting = tree.parent !== null && election.leaderRefused === 0;
+    const isConnecting = tree.parent !== null && election.leaderRefusals === 0;
     return isConnecting
       ? now - tree.parentSince >= FIRST_NEWS_PATIENCE
       : now - election.startedAt >= START_PATIENCE;
   }
-  if (now - tree.lastParentContactAt > HEARTBEAT_PATIENCE || tree.watchers.includes(identity.daemon)) {
+  if (now - tree.lastParentContactAt > HEARTBEAT_TIMEOUT || tree.watchers.includes(identity.daemon)) {
     return true;
   }
   // The leader and its watchers may be heard, and have had no word of the store: the others found out 4 s later.
--- a/src/router/ownership/begin-leadership.ts
+++ b/src/router/ownership/begin-leadership.ts
@@ -1,4 +1,7 @@
-/** The first moment of a leadership: what is known of former leaders, and the units as they are found. */
+/**
+ * Start of a leadership: determines until when earlier leaders may act, and adopts the units of the stored
+ * table.
+ */
 import { RecentLimits } from '../limits/recent-limits.js';
 import { PermitBuckets } from '../limits/permit-buckets.js';
 import { RestReports } from '../notices/rest-reports.js';
@@ -6,17 +9,20 @@
 import type { RouterContext } from '../router-context.js';
 import { sendHeartbeatSoon } from '../tree/heartbeats.js';
 import type { Candidacy } from './election-state.js';
-import { FIRST_REFUSED_RETRY } from './leader-confirmation.js';
-import { noteServers } from './leader.js';
+import { INITIAL_CONFIRMATION_RETRY_DELAY } from './leader-confirmation.js';
+import { recordServerList } from './leader.js';
 import type { Leadership, UnitProgress } from './leadership-state.js';
-import { CONFIRMATION_VALIDITY, JOIN_INTERVAL, LEASE, longestHold } from './ownership-timing.js';
+import { LEADERSHIP_VALIDITY, UNIT_MERGE_INTERVAL, LEASE_DURATION, maxHoldTime } from './ownership-timing.js';
 import { RecentPeak } from './recent-peak.js';
 import { unitName, type OwnershipTable, type Unit } from './ownership-table.js';
 
-/** As long as a retry window: what daemons that lost touch have spent counts until then. */
-const COUNT_MEMORY: Milliseconds = 10_000;
+/**
+ * Time for which a peak of the number of daemons counts. Equal to the retry window, since what disconnected
+ * daemons have spent counts until its end.
+ */
+const DAEMON_COUNT_MEMORY: Milliseconds = 10_000;
 
-/** Begins to lead with the table as it is in the store under this daemon's term. */
+/** Starts to lead with the table that is in the store under the term of this daemon. */
 export function beginLeadership(
   context: RouterContext,
   candidacy: Candidacy,
@@ -26,47 +32,47 @@
   const { state, now } = context;
   state.election.candidacy = null;
   state.counters.leaderships_won += 1;
-  const formerCallsEndAt = formerCallsEnd(context, candidacy, table);
+  const formerCallsEndAt = formerLeaderCallsEnd(context, candidacy, table);
   const leadership: Leadership = {
     term: candidacy.claim.term,
     leaderRevision: candidacy.revision,
     beat: 0,
     confirmedAt: candidacy.confirmedAt,
-    confirming: false,
+    confirmationInFlight: false,
     nextConfirmationAt: now,
-    refusedRetry: FIRST_REFUSED_RETRY,
+    confirmationRetryDelay: INITIAL_CONFIRMATION_RETRY_DELAY,
     table,
     tableRevision,
-    write: null,
+    pendingWrite: null,
     startedAt: now,
-    formerCallsEndAt,
-    formerLeasesEndAt: table.units.length === 0 ? now : formerCallsEndAt + longestHold(LEASE),
+    formerLeaderCallsEndAt: formerCallsEndAt,
+    formerLeaderLeasesEndAt: table.units.length === 0 ? now : formerCallsEndAt + maxHoldTime(LEASE_DURATION),
     former: candidacy.former?.settled === true ? candidacy.former : null,
-    progress: new Map(table.units.map((unit) => [unitName(unit), resumedProgress(unit, now)])),
+    unitProgress: new Map(table.units.map((unit) => [unitName(unit), resumedProgress(unit, now)])),
     leases: new Map(),
-    calls: new Map(),
+    pendingCalls: new Map(),
     addresses: new Map(),
     rests: new RestReports(),
     permitBuckets: new PermitBuckets(),
     recentLimits: new RecentLimits(),
     limitProbedAt: new Map(),
     keyLoad: new Map(),
-    paces: new Map(),
-    lateOrderSeenAt: Number.NEGATIVE_INFINITY,
+    serviceTimeEstimators: new Map(),
+    lateCallSeenAt: Number.NEGATIVE_INFINITY,
     plannedAt: now,
     nextPlanAt: now,
-    nextJoinAt: now + JOIN_INTERVAL,
-    nextIntakeAt: now,
-    daemonCount: new RecentPeak(COUNT_MEMORY, state.view.term > 0 ? state.daemons : 1, now),
+    nextMergeAt: now + UNIT_MERGE_INTERVAL,
+    nextReportAggregationAt: now,
+    daemonCount: new RecentPeak(DAEMON_COUNT_MEMORY, state.view.term > 0 ? state.daemons : 1, now),
     viewStep: 0,
     viewChanged: true,
     nextBroadcastAt: now,
   };
   state.leadership = leadership;
-  noteServers(context, leadership);
+  recordServerList(context, leadership);
   sendHeartbeatSoon(context);
   const { term } = leadership;
-  const waitsFor = Math.max(0, Math.round(leadership.formerLeasesEndAt - now));
+  const waitsFor = Math.max(0, Math.round(leadership.formerLeaderLeasesEndAt - now));
   context.log('leadership_won', {
     term,
     units: table.units.length,
@@ -75,25 +81,32 @@
   });
 }
 
-/** When earlier leaders have stopped calling servers. */
-function formerCallsEnd(context: RouterContext, candidacy: Candidacy, table: OwnershipTable): Milliseconds {
+/** Returns the time after which earlier leaders send no calls to servers. */
+function formerLeaderCallsEnd(
+  context: RouterContext,
+  candidacy: Candidacy,
+  table: OwnershipTable,
+): Milliseconds {
   if (table.units.length === 0) {
     return context.now;
   }
-  if (candidacy.predecessorEnded) {
+  if (candidacy.hasPredecessorEnded) {
     return context.state.election.startedAt;
   }
-  // The last write of the leader before began before this daemon first saw its revision.
-  return Math.max(context.now, candidacy.formerSeenAt + CONFIRMATION_VALIDITY);
+  // The previous leader began its last write before this daemon first saw the revision of that write.
+  return Math.max(context.now, candidacy.formerRevisionSeenAt + LEADERSHIP_VALIDITY);
 }
 
-/** A unit of the table that a new leader finds. The owner may hold it; it is renewed at once. */
+/**
+ * Returns the progress of a unit in the table that a new leader finds. The owner may hold the unit, which is
+ * renewed at once.
+ */
 function resumedProgress(unit: Unit, now: Milliseconds): UnitProgress {
   return {
     phase: unit.releasing === null ? 'held' : 'releasing',
     fence: unit.fence,
     ownerMayHold: true,
-    fenceRefused: false,
+    isFenceRefused: false,
     handover: null,
     nextCallAt: now,
     callsInFlight: 0,
--- a/src/router/ownership/candidacy.ts
+++ b/src/router/ownership/candidacy.ts
@@ -1,6 +1,6 @@
 /**
- * How a daemon comes to lead: it claims the leader's object by compare-and-swap, reads the ownership table, and claims
- * that too. Only with both does it lead.
+ * How a daemon becomes the leader: it claims the leader record by compare-and-swap, reads the ownership
+ * table, and claims the table in the same way. It leads only after both claims have succeeded.
  */
 import type { ObjectReadEvent, ObjectWrittenEvent } from '../events.js';
 import type { Milliseconds } from '../model/identifiers.js';
@@ -8,22 +8,27 @@
 import { connectToParent } from '../tree/parent.js';
 import { beginLeadership } from './begin-leadership.js';
 import type { Candidacy } from './election-state.js';
-import { noteLeader } from './known-leader.js';
+import { recordLeader } from './known-leader.js';
 import { EMPTY_TABLE, type OwnershipTable } from './ownership-table.js';
-import { CONFIRMATION_VALIDITY } from './ownership-timing.js';
-import { parseLeader, parseOwnership, type LeaderRecord, type OwnershipRecord } from './stored-objects.js';
+import { LEADERSHIP_VALIDITY } from './ownership-timing.js';
+import {
+  parseLeaderRecord,
+  parseOwnershipRecord,
+  type LeaderRecord,
+  type OwnershipRecord,
+} from './stored-objects.js';
 
-/** A step of a candidacy without an answer is tried again after this long. */
-const STEP_RETRY: Milliseconds = 250;
-/** Before the table was read. */
-const NOTHING_READ = {
+/** Delay before the retry of a candidacy step without an answer. */
+const CLAIM_RETRY_DELAY: Milliseconds = 250;
+/** Fields of a candidacy before the table has been read. */
+const TABLE_NOT_READ = {
   table: EMPTY_TABLE,
   tableRevision: null,
-  stepAt: Number.POSITIVE_INFINITY,
+  nextAttemptAt: Number.POSITIVE_INFINITY,
 } as const;
 
-/** Claims the leader's object, unless this daemon stops or claims already. */
-export function considerClaim(context: RouterContext, former: LeaderRecord | null, revision: number): void {
+/** Claims the leader record, unless this daemon is stopping or has a candidacy already. */
+export function startCandidacy(context: RouterContext, former: LeaderRecord | null, revision: number): void {
   const { state, now } = context;
   if (state.stopping || state.election.candidacy !== null) {
     return;
@@ -31,50 +36,50 @@
   const { daemon, life, peerAddress } = state.identity;
   const term = (former?.term ?? 0) + 1;
   const claim = { term, daemon, life, address: peerAddress, beat: 0, settled: false, resigned: false };
-  // Its own earlier life has ended, and no leader before that one can still act.
+  // This daemon's earlier incarnation has ended, and no leader before that one can still act.
   const predecessorEnded = former?.daemon === daemon && former.settled;
   const formerStopped = former?.resigned === true && former.settled;
-  const formerSeenAt = formerStopped ? now - CONFIRMATION_VALIDITY : state.election.unchangedSince;
+  const formerSeenAt = formerStopped ? now - LEADERSHIP_VALIDITY : state.election.leaderRevisionSeenAt;
   state.election.candidacy = {
-    ...NOTHING_READ,
+    ...TABLE_NOT_READ,
     phase: 'claiming',
     claim,
     revision,
     confirmedAt: now,
-    predecessorEnded,
-    formerSeenAt,
+    hasPredecessorEnded: predecessorEnded,
+    formerRevisionSeenAt: formerSeenAt,
     former,
   };
   context.log('leadership_claimed', { term: claim.term, former: former?.daemon ?? null, revision });
-  writeClaim(context, state.election.candidacy);
+  writeLeaderClaim(context, state.election.candidacy);
 }
 
-function writeClaim(context: RouterContext, candidacy: Candidacy): void {
+function writeLeaderClaim(context: RouterContext, candidacy: Candidacy): void {
   const revision = candidacy.revision === 0 ? null : candidacy.revision;
   context.emit({ kind: 'writeObject', object: 'leader', value: candidacy.claim, revision });
 }
 
-/** Repeats a step without an answer, and ends a candidacy that takes too long. */
+/** Retries a step without an answer, and ends a candidacy that takes too long. */
 export function tickCandidacy(context: RouterContext, candidacy: Candidacy): void {
-  if (context.now - candidacy.confirmedAt > CONFIRMATION_VALIDITY / 2) {
+  if (context.now - candidacy.confirmedAt > LEADERSHIP_VALIDITY / 2) {
     dropCandidacy(context, 'the store did not answer in time');
-  } else if (candidacy.phase === 'claimingTable' && context.now >= candidacy.stepAt) {
+  } else if (candidacy.phase === 'claimingTable' && context.now >= candidacy.nextAttemptAt) {
     writeTableClaim(context, candidacy);
   }
 }
 
-/** Ends a candidacy, if one is under way. */
+/** Ends the candidacy, if there is one. */
 export function dropCandidacy(context: RouterContext, reason: string): void {
   const { election } = context.state;
   if (election.candidacy !== null) {
     context.log('candidacy_dropped', { term: election.candidacy.claim.term, reason });
     election.candidacy = null;
-    election.nextReadAt = context.now + election.jitter;
-    election.reading = false;
+    election.nextLeaderReadAt = context.now + election.jitter;
+    election.leaderReadInFlight = false;
   }
 }
 
-/** The write of the leader's object by a candidate ended. */
+/** Handles the outcome of the write that claims the leader record. */
 export function receiveClaimWritten(context: RouterContext, event: ObjectWrittenEvent): void {
   const { candidacy } = context.state.election;
   if (candidacy?.phase !== 'claiming') {
@@ -82,26 +87,32 @@
   }
   const { outcome } = event;
   if (outcome.kind === 'written') {
-    enterTable(context, candidacy.claim, outcome.revision, event.sentAt, candidacy.predecessorEnded);
+    continueWithTable(
+      context,
+      candidacy.claim,
+      outcome.revision,
+      event.sentAt,
+      candidacy.hasPredecessorEnded,
+    );
     return;
   }
   if (outcome.kind === 'conflict') {
-    const record = parseLeader(outcome.value);
+    const record = parseLeaderRecord(outcome.value);
     if (record?.life === context.state.identity.life) {
-      enterTable(context, record, outcome.revision, event.sentAt, candidacy.predecessorEnded);
+      continueWithTable(context, record, outcome.revision, event.sentAt, candidacy.hasPredecessorEnded);
       return;
     }
     dropCandidacy(context, 'another daemon was first');
     if (record !== null) {
-      noteLeader(context, record, outcome.revision);
+      recordLeader(context, record, outcome.revision);
     }
     return;
   }
-  dropCandidacy(context, `the claim was ${outcome.kind}: ${outcome.reason}`);
+  dropCandidacy(context, `the write of the leader record ended as ${outcome.kind}: ${outcome.reason}`);
 }
 
-/** The leader's object names this daemon: the table is next. */
-export function enterTable(
+/** Continues a candidacy with the table, after the leader record names this daemon. */
+export function continueWithTable(
   context: RouterContext,
   claim: LeaderRecord,
   revision: number,
@@ -113,25 +124,25 @@
     dropCandidacy(context, 'a planned stop is under way');
     return;
   }
-  const formerSeenAt = election.candidacy?.formerSeenAt ?? context.now;
+  const formerSeenAt = election.candidacy?.formerRevisionSeenAt ?? context.now;
   const former = election.candidacy?.former ?? null;
   election.leader = claim;
   election.leaderRevision = revision;
   election.candidacy = {
-    ...NOTHING_READ,
+    ...TABLE_NOT_READ,
     phase: 'readingTable',
     claim,
     revision,
     confirmedAt,
-    predecessorEnded,
-    formerSeenAt,
+    hasPredecessorEnded: predecessorEnded,
+    formerRevisionSeenAt: formerSeenAt,
     former,
   };
   connectToParent(context, null);
   context.emit({ kind: 'readObject', object: 'ownership' });
 }
 
-/** The table was read: this daemon puts its own term on it. */
+/** Claims the table that was read, by writing it with the term of this daemon. */
 export function claimTable(
   context: RouterContext,
   candidacy: Candidacy,
@@ -158,12 +169,12 @@
 }
 
 function writeTableClaim(context: RouterContext, candidacy: Candidacy): void {
-  candidacy.stepAt = Number.POSITIVE_INFINITY;
+  candidacy.nextAttemptAt = Number.POSITIVE_INFINITY;
   const value: OwnershipRecord = { writeId: tableClaimId(context, candidacy), table: candidacy.table };
   context.emit({ kind: 'writeObject', object: 'ownership', value, revision: candidacy.tableRevision });
 }
 
-/** The write of the table by a candidate ended. */
+/** Handles the outcome of the write that claims the table. */
 export function receiveTableClaimed(context: RouterContext, event: ObjectWrittenEvent): void {
   const { candidacy } = context.state.election;
   if (candidacy?.phase !== 'claimingTable') {
@@ -175,16 +186,17 @@
     return;
   }
   if (outcome.kind !== 'conflict') {
-    // The same content on the same revision: whichever try lands first, the other meets its write id.
-    candidacy.stepAt = context.now + STEP_RETRY;
+    // All attempts write the same content on the same revision: if one succeeds, the others find its write
+    // id.
+    candidacy.nextAttemptAt = context.now + CLAIM_RETRY_DELAY;
     return;
   }
-  const record = parseOwnership(outcome.value);
+  const record = parseOwnershipRecord(outcome.value);
   if (record?.writeId === tableClaimId(context, candidacy)) {
     beginLeadership(context, candidacy, record.table, outcome.revision);
     return;
   }
-  // The leader before wrote in between: its table counts.
+  // The previous leader wrote a newer table in the meantime, which must be claimed instead.
   candidacy.phase = 'readingTable';
   context.emit({ kind: 'readObject', object: 'ownership' });
 }
--- a/src/router/ownership/election-state.ts
+++ b/src/router/ownership/election-state.ts
@@ -1,75 +1,81 @@
-/** What a daemon knows of the leader, and how far its own candidacy is. */
+/** What a daemon knows about the leader, and the progress of its own candidacy. */
 import type { Milliseconds } from '../model/identifiers.js';
 import type { OwnershipTable } from './ownership-table.js';
 import type { LeaderRecord } from './stored-objects.js';
 
-/** Steps of a daemon that wants to lead. */
+/** Steps of a candidacy: claim the leader record, read the ownership table, and claim the table. */
 export type CandidacyPhase = 'claiming' | 'readingTable' | 'claimingTable';
 
 export interface Candidacy {
   phase: CandidacyPhase;
   readonly claim: LeaderRecord;
-  /** Revision of the leader's object once it names this daemon. */
+  /** Revision of the leader record once it names this daemon. */
   revision: number;
-  /** When the write or read that showed this daemon as the leader was sent. */
+  /** Time at which the write or read that showed this daemon as the leader was sent. */
   confirmedAt: Milliseconds;
-  /** The leader before had ended for certain before this daemon started. */
-  readonly predecessorEnded: boolean;
-  /** When this daemon first saw the revision that it replaces: the leader before wrote nothing later. */
-  readonly formerSeenAt: Milliseconds;
-  /** The leader that is replaced. */
+  /** The previous leader had certainly ended before this daemon started. */
+  readonly hasPredecessorEnded: boolean;
+  /**
+   * Time at which this daemon first saw the revision that it replaces. The previous leader has written
+   * nothing later.
+   */
+  readonly formerRevisionSeenAt: Milliseconds;
+  /** The leader that this daemon replaces; null if there is none. */
   readonly former: LeaderRecord | null;
-  /** The table that is claimed, and the revision that it replaces (null: there is none). */
+  /** The table that is claimed, and the revision that the claim replaces (null if there is none). */
   table: OwnershipTable;
   tableRevision: number | null;
-  /** The step under way is tried again at this time. */
-  stepAt: Milliseconds;
+  /** Time of the next attempt at the current step. */
+  nextAttemptAt: Milliseconds;
 }
 
 export interface ElectionState {
-  /** As last read from the store. */
+  /** The leader as last read from the store or announced by another daemon. */
   leader: LeaderRecord | null;
   leaderRevision: number;
-  /** When the leader's object was first read with this revision. */
-  unchangedSince: Milliseconds;
+  /** Time at which this daemon first learned of this revision of the leader record. */
+  leaderRevisionSeenAt: Milliseconds;
   lastHeartbeatAt: Milliseconds;
-  /** Age of the leader's confirmation, as its last heartbeat said. */
+  /** Age of the leader's last confirmation, according to its last heartbeat. */
   confirmationAge: Milliseconds;
-  reading: boolean;
-  /** Reads of the leader's object that failed since the last one that did not. */
-  failedReads: number;
-  nextReadAt: Milliseconds;
-  /** Nothing listens at the leader's address. */
-  leaderRefused: number;
+  leaderReadInFlight: boolean;
+  /** Consecutive failed reads of the leader record. */
+  failedLeaderReads: number;
+  nextLeaderReadAt: Milliseconds;
+  /** Consecutive refused connections to the address of the leader. */
+  leaderRefusals: number;
   candidacy: Candidacy | null;
   lastReportAt: Milliseconds;
   nextReportAt: Milliseconds;
-  /** When this daemon started, by its first event. */
+  /** Time of the first event of this daemon, or -1 before it. */
   startedAt: Milliseconds;
   nextTableReadAt: Milliseconds;
-  readingTable: boolean;
-  /** Drawn anew for each wait, so that daemons do not stand at the same moment. */
+  tableReadInFlight: boolean;
+  /**
+   * Random delay of this daemon, so that daemons do not read the store or claim the leadership at the same
+   * moment.
+   */
   jitter: Milliseconds;
 }
 
-/** The state of a daemon that has heard of no leader. */
-export function createElection(): ElectionState {
+/** Returns the state of a daemon that knows of no leader. */
+export function createElectionState(): ElectionState {
   return {
     leader: null,
     leaderRevision: 0,
-    unchangedSince: 0,
+    leaderRevisionSeenAt: 0,
     lastHeartbeatAt: Number.NEGATIVE_INFINITY,
     confirmationAge: 0,
-    reading: false,
-    failedReads: 0,
-    nextReadAt: 0,
-    leaderRefused: 0,
+    leaderReadInFlight: false,
+    failedLeaderReads: 0,
+    nextLeaderReadAt: 0,
+    leaderRefusals: 0,
     candidacy: null,
     lastReportAt: 0,
     nextReportAt: 0,
     startedAt: -1,
     nextTableReadAt: 0,
-    readingTable: false,
+    tableReadInFlight: false,
     jitter: 0,
   };
 }
--- a/src/router/ownership/leader-confirmation.ts
+++ b/src/router/ownership/leader-confirmation.ts
@@ -5,80 +5,88 @@
 import type { Heartbeat } from '../peers/messages.js';
 import type { RouterContext } from '../router-context.js';
 import type { Leadership } from './leadership-state.js';
-import { CONFIRMATION_INTERVAL } from './ownership-timing.js';
-import { parseLeader, type LeaderRecord } from './stored-objects.js';
+import { LEADERSHIP_CONFIRMATION_INTERVAL } from './ownership-timing.js';
+import { parseLeaderRecord, type LeaderRecord } from './stored-objects.js';
 
-/** A refused write is repeated after this long, then ever more seldom: calls that are refused are paid for, too. */
-export const FIRST_REFUSED_RETRY: Milliseconds = 150;
-const LONGEST_REFUSED_RETRY: Milliseconds = 600;
-const REFUSED_RETRY_GROWTH = 1.5;
-/** Said as the age of the confirmation by a leader that stops. */
-const RESIGNED_AGE: Milliseconds = 3_600_000;
+/**
+ * Delay before the first retry of a refused write. The delay grows with each retry, since refused requests
+ * are paid for, too.
+ */
+export const INITIAL_CONFIRMATION_RETRY_DELAY: Milliseconds = 150;
+const MAX_CONFIRMATION_RETRY_DELAY: Milliseconds = 600;
+const CONFIRMATION_BACKOFF_FACTOR = 1.5;
+/** Age of the confirmation that a leader announces when it resigns. */
+const RESIGNED_CONFIRMATION_AGE: Milliseconds = 3_600_000;
 
 function ownRecord(context: RouterContext, leadership: Leadership): LeaderRecord {
   const { daemon, life, peerAddress } = context.state.identity;
   const { term, beat } = leadership;
-  const settled = context.now > leadership.formerCallsEndAt;
+  const settled = context.now > leadership.formerLeaderCallsEndAt;
   return { term, daemon, life, address: peerAddress, beat, settled, resigned: false };
 }
 
-/** Writes the leader's object anew when that is due. */
+/** Writes the leader record again when that is due. */
 export function confirmLeadership(context: RouterContext, leadership: Leadership): void {
-  if (leadership.confirming || context.now < leadership.nextConfirmationAt) {
+  if (leadership.confirmationInFlight || context.now < leadership.nextConfirmationAt) {
     return;
   }
-  leadership.confirming = true;
+  leadership.confirmationInFlight = true;
   leadership.beat += 1;
-  leadership.nextConfirmationAt = context.now + CONFIRMATION_INTERVAL;
+  leadership.nextConfirmationAt = context.now + LEADERSHIP_CONFIRMATION_INTERVAL;
   const value = ownRecord(context, leadership);
   context.emit({ kind: 'writeObject', object: 'leader', value, revision: leadership.leaderRevision });
 }
 
 function isOwn(context: RouterContext, leadership: Leadership, value: unknown): boolean {
-  const record = parseLeader(value);
+  const record = parseLeaderRecord(value);
   return record?.term === leadership.term && record.life === context.state.identity.life;
 }
 
-/** The write that confirms the leadership ended. */
+/** Handles the outcome of a write that confirms the leadership. */
 export function receiveConfirmation(
   context: RouterContext,
   leadership: Leadership,
   event: ObjectWrittenEvent,
 ): void {
   const { outcome } = event;
-  leadership.confirming = false;
+  leadership.confirmationInFlight = false;
   if (outcome.kind === 'written') {
     leadership.leaderRevision = outcome.revision;
-    leadership.refusedRetry = FIRST_REFUSED_RETRY;
+    leadership.confirmationRetryDelay = INITIAL_CONFIRMATION_RETRY_DELAY;
     leadership.confirmedAt = Math.max(leadership.confirmedAt, event.sentAt);
   } else if (outcome.kind === 'conflict' && isOwn(context, leadership, outcome.value)) {
-    // An earlier write of this leader, whose answer was lost, is there: the next one confirms.
+    // The record is from an earlier write of this leader, whose answer was lost; the next write confirms the
+    // leadership.
     leadership.leaderRevision = outcome.revision;
     leadership.nextConfirmationAt = context.now;
   } else if (outcome.kind === 'conflict') {
     stepDown(context, 'another daemon leads', outcome.value);
   } else {
-    leadership.nextConfirmationAt = context.now + leadership.refusedRetry;
-    leadership.refusedRetry = Math.min(LONGEST_REFUSED_RETRY, leadership.refusedRetry * REFUSED_RETRY_GROWTH);
+    leadership.nextConfirmationAt = context.now + leadership.confirmationRetryDelay;
+    leadership.confirmationRetryDelay = Math.min(
+      MAX_CONFIRMATION_RETRY_DELAY,
+      leadership.confirmationRetryDelay * CONFIRMATION_BACKOFF_FACTOR,
+    );
     if (outcome.kind === 'unknown') {
-      leadership.confirming = true;
+      leadership.confirmationInFlight = true;
       context.emit({ kind: 'readObject', object: 'leader' });
     }
   }
 }
 
-/** The leader's object was read, after a write without an answer. */
-export function receiveLeaderRead(
+/** Handles the read of the leader record that follows a write without an answer. */
+export function receiveConfirmationRead(
   context: RouterContext,
   leadership: Leadership,
   event: ObjectReadEvent,
 ): void {
-  leadership.confirming = false;
+  leadership.confirmationInFlight = false;
   if (event.outcome.kind === 'failed') {
     return;
   }
   if (event.outcome.kind === 'found' && isOwn(context, leadership, event.outcome.value)) {
-    // Only a write confirms: a successor counts from the last one that it can have seen.
+    // Only a write confirms the leadership: the timeout of a successor runs from the last write that it can
+    // have seen.
     leadership.leaderRevision = event.outcome.revision;
     leadership.nextConfirmationAt = context.now;
     return;
@@ -86,19 +94,23 @@
   stepDown(context, 'another daemon leads', event.outcome.kind === 'found' ? event.outcome.value : null);
 }
 
-/** Gives the leadership up. Grants run out or are renewed by the successor. */
+/** Gives up the leadership. Granted leases expire or are renewed by the successor. */
 export function stepDown(context: RouterContext, reason: string, found: unknown): void {
   const { state } = context;
   if (state.leadership === null) {
     return;
   }
   state.counters.leaderships_lost += 1;
-  context.log('leadership_lost', { term: state.leadership.term, reason, found: parseLeader(found) }, 'warn');
+  context.log(
+    'leadership_lost',
+    { term: state.leadership.term, reason, found: parseLeaderRecord(found) },
+    'warn',
+  );
   state.leadership = null;
-  state.election.nextReadAt = context.now;
+  state.election.nextLeaderReadAt = context.now;
 }
 
-/** A planned stop: calls nobody from now on, and lets another daemon lead at once. */
+/** Resigns for a planned stop: sends no further calls to servers, and lets another daemon lead at once. */
 export function resign(context: RouterContext, leadership: Leadership): void {
   const value = { ...ownRecord(context, leadership), resigned: true };
   context.emit({ kind: 'writeObject', object: 'leader', value, revision: leadership.leaderRevision });
@@ -110,7 +122,7 @@
     leaderLife: state.identity.life,
     leaderAddress: state.identity.peerAddress,
     heardAge: 0,
-    confirmationAge: RESIGNED_AGE,
+    confirmationAge: RESIGNED_CONFIRMATION_AGE,
     leaderRevision: 0,
     newsAge: Math.round(newsAge(context)),
     daemons: state.daemons,
--- a/src/router/ownership/server-lease.ts
+++ b/src/router/ownership/server-lease.ts
@@ -1,30 +1,30 @@
-/** What a leader knows of one server's leases, and whether the server answers. */
+/** What the leader knows about the leases of one server, and whether the server answers calls. */
 import type { Milliseconds, ServerId } from '../model/identifiers.js';
 import type { Leadership, PendingCall, ServerLease } from './leadership-state.js';
 import {
-  LATE_ORDER,
-  LATE_ORDER_MEMORY,
-  LEASE,
-  longestHold,
-  SILENT_AFTER,
-  SILENT_AFTER_LATE_ORDERS,
+  LATE_CALL_DELAY,
+  LATE_CALL_MEMORY,
+  LEASE_DURATION,
+  maxHoldTime,
+  UNANSWERED_CALL_LIMIT,
+  UNANSWERED_CALL_LIMIT_WITH_LATE_CALLS,
 } from './ownership-timing.js';
 
-/** The lease record of a server, made when it is first needed. */
+/** Returns the lease state of a server, created on first use. */
 export function leaseOf(leadership: Leadership, server: string): ServerLease {
   let lease = leadership.leases.get(server);
   if (lease === undefined) {
     lease = {
       holdsUntil: Number.NEGATIVE_INFINITY,
       unansweredGrantAt: Number.NEGATIVE_INFINITY,
-      unansweredLease: 0,
+      unansweredLeaseDuration: 0,
       unanswered: 0,
       lastUnansweredAt: Number.NEGATIVE_INFINITY,
       nextProbeAt: 0,
       probeInFlight: false,
-      silent: false,
+      unresponsive: false,
       ended: false,
-      heldByNobody: false,
+      holdsNothing: false,
       successor: null,
     };
     leadership.leases.set(server, lease);
@@ -32,82 +32,97 @@
   return lease;
 }
 
-function lateOrdersExpected(leadership: Leadership, now: Milliseconds): boolean {
-  return now - leadership.lateOrderSeenAt < LATE_ORDER_MEMORY;
+function areLateCallsExpected(leadership: Leadership, now: Milliseconds): boolean {
+  return now - leadership.lateCallSeenAt < LATE_CALL_MEMORY;
 }
 
-/** After this time neither the server nor its successor holds anything by its grants, whether or not it answers. */
+/**
+ * Returns the time after which neither the server nor its successor holds any key under its grants, whether
+ * or not it answers.
+ */
 export function leaseEnd(leadership: Leadership, lease: ServerLease, now: Milliseconds): Milliseconds {
-  if (lease.heldByNobody) {
+  if (lease.holdsNothing) {
     return Number.NEGATIVE_INFINITY;
   }
-  const lateness = lateOrdersExpected(leadership, now) ? LATE_ORDER : 0;
-  const unansweredEnd = lease.unansweredGrantAt + lateness + longestHold(lease.unansweredLease);
-  return Math.max(leadership.formerLeasesEndAt, lease.holdsUntil, unansweredEnd);
+  const lateExecutionDelay = areLateCallsExpected(leadership, now) ? LATE_CALL_DELAY : 0;
+  const unansweredEnd =
+    lease.unansweredGrantAt + lateExecutionDelay + maxHoldTime(lease.unansweredLeaseDuration);
+  return Math.max(leadership.formerLeaderLeasesEndAt, lease.holdsUntil, unansweredEnd);
 }
 
-/** The leader before has ended: it calls nobody any more. */
-export function noteFormerEnded(leadership: Leadership, now: Milliseconds): void {
-  leadership.formerCallsEndAt = Math.min(leadership.formerCallsEndAt, now);
-  leadership.formerLeasesEndAt = Math.min(leadership.formerLeasesEndAt, now + longestHold(LEASE));
+/** Records that the former leader has ended and sends no further calls. */
+export function recordFormerLeaderEnded(leadership: Leadership, now: Milliseconds): void {
+  leadership.formerLeaderCallsEndAt = Math.min(leadership.formerLeaderCallsEndAt, now);
+  leadership.formerLeaderLeasesEndAt = Math.min(
+    leadership.formerLeaderLeasesEndAt,
+    now + maxHoldTime(LEASE_DURATION),
+  );
 }
 
-/** A grant goes out. */
-export function noteGrantSent(lease: ServerLease, hold: Milliseconds, now: Milliseconds): void {
-  lease.holdsUntil = Math.max(lease.holdsUntil, now + longestHold(hold));
+/** Records that a grant was sent, after which the server may hold keys until the lease ends. */
+export function recordGrantSent(lease: ServerLease, duration: Milliseconds, now: Milliseconds): void {
+  lease.holdsUntil = Math.max(lease.holdsUntil, now + maxHoldTime(duration));
 }
 
-/** A call was answered: the server is alive, and took the call at the latest now. */
-export function noteAnswer(leadership: Leadership, call: PendingCall, now: Milliseconds): void {
+/** Records an answered call: the server is alive, and executed the call no later than now. */
+export function recordAnswer(leadership: Leadership, call: PendingCall, now: Milliseconds): void {
   const lease = leaseOf(leadership, call.server);
   if (call.action === 'grant') {
-    lease.holdsUntil = Math.max(lease.holdsUntil, now + longestHold(call.lease));
+    lease.holdsUntil = Math.max(lease.holdsUntil, now + maxHoldTime(call.leaseDuration));
   }
   if (lease.unanswered > 0 && lease.lastUnansweredAt < call.sentAt) {
-    // An earlier call is lost although the server answers a later one.
-    leadership.lateOrderSeenAt = now;
+    // The server answers a later call but left an earlier one unanswered, which may still be executed.
+    leadership.lateCallSeenAt = now;
   }
   lease.unanswered = 0;
-  lease.silent = false;
+  lease.unresponsive = false;
 }
 
-/** A call has no answer. One that was sent may be carried out late. */
-export function noteNoAnswer(
+/** Records that a call got no answer. A call that was sent may still be executed late. */
+export function recordUnansweredCall(
   leadership: Leadership,
   call: PendingCall,
-  sent: boolean,
+  wasSent: boolean,
   now: Milliseconds,
 ): void {
   const lease = leaseOf(leadership, call.server);
   if (call.action === 'release') {
-    // Its answer waits for the work on the keys: no answer says nothing of the server.
+    // A server answers a release only after its requests for the keys have ended, so a missing answer does
+    // not show that the server is unresponsive.
     return;
   }
-  if (sent && call.action === 'grant') {
+  if (wasSent && call.action === 'grant') {
     lease.unansweredGrantAt = Math.max(lease.unansweredGrantAt, call.sentAt);
-    lease.unansweredLease = Math.max(lease.unansweredLease, call.lease);
+    lease.unansweredLeaseDuration = Math.max(lease.unansweredLeaseDuration, call.leaseDuration);
   }
   lease.unanswered += 1;
   lease.lastUnansweredAt = call.sentAt;
-  const limit = lateOrdersExpected(leadership, now) ? SILENT_AFTER_LATE_ORDERS : SILENT_AFTER;
-  lease.silent ||= lease.unanswered >= limit;
+  const limit = areLateCallsExpected(leadership, now)
+    ? UNANSWERED_CALL_LIMIT_WITH_LATE_CALLS
+    : UNANSWERED_CALL_LIMIT;
+  lease.unresponsive ||= lease.unanswered >= limit;
 }
 
-/** The server's process has ended: another one at its address refused a call that was meant for it. */
-export function noteRefusedByOther(leadership: Leadership, server: ServerId): void {
+/**
+ * Records that the server's process has ended, because another process at its address refused a call that was
+ * meant for it.
+ */
+export function recordRefusalByOtherInstance(leadership: Leadership, server: ServerId): void {
   const lease = leaseOf(leadership, server);
   lease.ended = true;
-  lease.silent = true;
-  lease.heldByNobody = true;
+  lease.unresponsive = true;
+  lease.holdsNothing = true;
 }
 
 /**
- * The server's process has ended: the list names another life at its address, or under its name. That one may have taken renewals that were
- * meant for this one, so that keys were held twice when they moved on at once; it is asked to release them first.
+ * Records that the server's process has ended, because the server list names another incarnation at its
+ * address or under its name. The successor may have accepted renewals that were meant for the ended server,
+ * so reassigning the keys at once gave them two owners. The successor is therefore asked to release them
+ * first.
  */
-export function noteSucceeded(leadership: Leadership, server: ServerId, successor: ServerId): void {
+export function recordSuccessor(leadership: Leadership, server: ServerId, successor: ServerId): void {
   const lease = leaseOf(leadership, server);
   lease.ended = true;
-  lease.silent = true;
+  lease.unresponsive = true;
   lease.successor = successor;
 }
--- a/src/router/ownership/table-write.ts
+++ b/src/router/ownership/table-write.ts
@@ -1,72 +1,74 @@
-/** Writes the ownership table, and takes it up once the store has it. */
+/** Writes the ownership table, and adopts it once the store has accepted it. */
 import type { ObjectWrittenEvent } from '../events.js';
 import type { Milliseconds } from '../model/identifiers.js';
 import type { RouterContext } from '../router-context.js';
-import { changedUnits } from './assignment-plan.js';
+import { describeChangedUnits } from './assignment-plan.js';
 import { stepDown } from './leader-confirmation.js';
 import type { Leadership, UnitProgress } from './leadership-state.js';
 import { unitName, type OwnershipTable, type Unit } from './ownership-table.js';
-import { parseOwnership, type OwnershipRecord } from './stored-objects.js';
+import { parseOwnershipRecord, type OwnershipRecord } from './stored-objects.js';
 
-/** A write without an answer is repeated after this long. */
-const WRITE_RETRY: Milliseconds = 200;
-/** Changed units named in one line of the log. */
-const MOST_LOGGED = 20;
+/** Delay before the retry of a write that failed or got no answer. */
+const WRITE_RETRY_DELAY: Milliseconds = 200;
+/** Limit on the changed units in one log line. */
+const MAX_LOGGED_UNITS = 20;
 
-function isFinished(leadership: Leadership, unit: Unit): boolean {
-  const progress = leadership.progress.get(unitName(unit));
+function isReleaseFinished(leadership: Leadership, unit: Unit): boolean {
+  const progress = leadership.unitProgress.get(unitName(unit));
   return unit.releasing !== null && progress?.fence === unit.fence && progress.phase === 'held';
 }
 
 /**
- * The table without former owners that have given their units up for certain, since the owners hold them: the
- * next leader need not wait for them again. The same table when there are none.
+ * Returns the table without the former owners whose units are already held by their owners: these have
+ * certainly released the units, so the next leader need not wait for them again. Returns the same table if
+ * there are none.
  */
 export function withoutFinishedReleases(leadership: Leadership, table: OwnershipTable): OwnershipTable {
-  if (!table.units.some((unit) => isFinished(leadership, unit))) {
+  if (!table.units.some((unit) => isReleaseFinished(leadership, unit))) {
     return table;
   }
   const units = table.units.map((unit) =>
-    isFinished(leadership, unit) ? { ...unit, releasing: null } : unit,
+    isReleaseFinished(leadership, unit) ? { ...unit, releasing: null } : unit,
   );
   return { ...table, units };
 }
 
-/** Writes a new table; it is acted on once the store has taken it. */
+/** Writes a new table, which is carried out only once the store has accepted it. */
 export function writeTable(context: RouterContext, leadership: Leadership, planned: OwnershipTable): void {
   const table = withoutFinishedReleases(leadership, planned);
   const writeId = `${context.state.identity.life}-${context.state.nextCallId}`;
   context.state.nextCallId += 1;
-  leadership.write = { table, writeId, retryAt: null };
+  leadership.pendingWrite = { table, writeId, retryAt: null };
   context.state.counters.ownership_writes += 1;
   emitWrite(context, leadership);
 }
 
 function emitWrite(context: RouterContext, leadership: Leadership): void {
-  if (leadership.write !== null) {
-    const { table, writeId } = leadership.write;
+  if (leadership.pendingWrite !== null) {
+    const { table, writeId } = leadership.pendingWrite;
     const value: OwnershipRecord = { writeId, table };
-    leadership.write.retryAt = null;
+    leadership.pendingWrite.retryAt = null;
     context.emit({ kind: 'writeObject', object: 'ownership', value, revision: leadership.tableRevision });
   }
 }
 
-/** Writes again when the answer of a write was lost. */
+/** Retries a write that failed or whose answer was lost. */
 export function retryWrite(context: RouterContext, leadership: Leadership): void {
-  const retryAt = leadership.write?.retryAt ?? null;
+  const retryAt = leadership.pendingWrite?.retryAt ?? null;
   if (retryAt !== null && context.now >= retryAt) {
-    // The same content on the same revision: whichever try lands first, the other meets its write id.
+    // All attempts write the same content on the same revision: if one succeeds, the others find its write
+    // id.
     emitWrite(context, leadership);
   }
 }
 
-/** The write of the table ended. */
+/** Handles the outcome of a table write. */
 export function receiveTableWritten(
   context: RouterContext,
   leadership: Leadership,
   event: ObjectWrittenEvent,
 ): void {
-  const { write } = leadership;
+  const { pendingWrite: write } = leadership;
   if (write === null) {
     return;
   }
@@ -76,7 +78,7 @@
     return;
   }
   if (outcome.kind === 'conflict') {
-    const record = parseOwnership(outcome.value);
+    const record = parseOwnershipRecord(outcome.value);
     if (record?.writeId === write.writeId) {
       adoptTable(context, leadership, write.table, outcome.revision);
     } else {
@@ -85,7 +87,7 @@
     return;
   }
   context.state.counters.ownership_write_failures += 1;
-  write.retryAt = context.now + WRITE_RETRY;
+  write.retryAt = context.now + WRITE_RETRY_DELAY;
 }
 
 function adoptTable(
@@ -95,8 +97,8 @@
   revision: number,
 ): void {
   const before = leadership.table;
-  const changed = changedUnits(before, table);
-  leadership.write = null;
+  const changed = describeChangedUnits(before, table);
+  leadership.pendingWrite = null;
   leadership.table = table;
   leadership.tableRevision = revision;
   leadership.viewStep = 0;
@@ -106,7 +108,7 @@
   context.log('assignment_written', {
     term: leadership.term,
     revision,
-    changed: changed.slice(0, MOST_LOGGED),
+    changed: changed.slice(0, MAX_LOGGED_UNITS),
   });
 }
 
@@ -119,31 +121,38 @@
   );
 }
 
-/** Progress of the units of a new table: kept for what stays, taken over by the parts of a split. */
+/**
+ * Updates the progress of units for a new table: unchanged units keep theirs, and the parts of a split unit
+ * inherit it.
+ */
 function reconcileProgress(context: RouterContext, leadership: Leadership, before: OwnershipTable): void {
-  const known = new Map(leadership.progress);
-  leadership.progress.clear();
+  const known = new Map(leadership.unitProgress);
+  leadership.unitProgress.clear();
   for (const unit of leadership.table.units) {
     const same = known.get(unitName(unit));
     if (same?.fence === unit.fence) {
-      leadership.progress.set(unitName(unit), same);
+      leadership.unitProgress.set(unitName(unit), same);
       continue;
     }
     const whole = before.units.find((candidate) => contains(candidate, unit));
     const inherited = whole === undefined ? undefined : known.get(unitName(whole));
     const progress =
       inherited === undefined ? newProgress(context, unit) : { ...inherited, callsInFlight: 0 };
-    if (inherited === undefined && isJoined(unit, before, known)) {
-      // The owner holds every part, under lower fences: it is renewed under the new one.
+    if (inherited === undefined && isMergedFromHeldUnits(unit, before, known)) {
+      // The owner holds every part under lower fences, so the merged unit is renewed under the new one.
       progress.phase = 'held';
       progress.ownerMayHold = true;
     }
     progress.nextCallAt = context.now;
-    leadership.progress.set(unitName(unit), progress);
+    leadership.unitProgress.set(unitName(unit), progress);
   }
 }
 
-function isJoined(unit: Unit, before: OwnershipTable, known: ReadonlyMap<string, UnitProgress>): boolean {
+function isMergedFromHeldUnits(
+  unit: Unit,
+  before: OwnershipTable,
+  known: ReadonlyMap<string, UnitProgress>,
+): boolean {
   const parts = before.units.filter(
     (part) => part.service === unit.service && part.from <= unit.to && part.to >= unit.from,
   );
@@ -155,7 +164,7 @@
     phase: unit.releasing === null ? 'granting' : 'releasing',
     fence: unit.fence,
     ownerMayHold: false,
-    fenceRefused: false,
+    isFenceRefused: false,
     handover: null,
     nextCallAt: context.now,
     callsInFlight: 0,
--- a/src/router/quarantine/stored-quarantines.ts
+++ b/src/router/quarantine/stored-quarantines.ts
@@ -7,7 +7,7 @@
 import type { ObjectReadEvent, ObjectWrittenEvent } from '../events.js';
 import type { Milliseconds } from '../model/identifiers.js';
 import { HEAD_CHARACTERS } from '../model/request-fingerprint.js';
-import { CONFIRMATION_VALIDITY } from '../ownership/ownership-timing.js';
+import { LEADERSHIP_VALIDITY } from '../ownership/ownership-timing.js';
 import type { RouterContext } from '../router-context.js';
 import type { CrashRecord } from './crash-record.js';
 import { takeRecords } from './quarantine.js';
@@ -43,11 +43,7 @@
 export function tickStoredQuarantines(context: RouterContext): void {
   const { state, now } = context;
   const { leadership, storedQuarantines: stored } = state;
-  if (
-    leadership === null ||
-    now - leadership.confirmedAt > CONFIRMATION_VALIDITY ||
-    now < stored.nextCallAt
-  ) {
+  if (leadership === null || now - leadership.confirmedAt > LEADERSHIP_VALIDITY || now < stored.nextCallAt) {
     return;
   }
   if (stored.term !== leadership.term) {
--- a/src/router/reducer.ts
+++ b/src/router/reducer.ts
@@ -25,11 +25,11 @@
 import * as candidacy from './ownership/candidacy.js';
 import * as election from './ownership/election.js';
 import { receiveHeartbeat, receiveLeaderNotice } from './ownership/known-leader.js';
-import { receiveConfirmation, receiveLeaderRead, resign } from './ownership/leader-confirmation.js';
-import { noteServers, tickLeader } from './ownership/leader.js';
+import { receiveConfirmation, receiveConfirmationRead, resign } from './ownership/leader-confirmation.js';
+import { recordServerList, tickLeader } from './ownership/leader.js';
 import { tickIsolation } from './ownership/isolation.js';
 import { receiveTableWritten } from './ownership/table-write.js';
-import { receiveOwnership } from './ownership/ownership-statement.js';
+import { receiveOwnership } from './ownership/ownership-broadcast.js';
 import { receiveControlEnded } from './ownership/unit-control.js';
 import { receiveFeedAnswered, receiveFeedFailed } from './news/feed-health.js';
 import { tickNewsAge } from './news/news-age.js';
@@ -117,7 +117,7 @@
     case 'parentLinkOpened':
       return greetParent(context);
     case 'parentLinkClosed':
-      election.noteLeaderUnreachable(context, event);
+      election.recordLeaderConnectionClosed(context, event);
       return receiveParentClosed(context, event);
     case 'settingsRead':
       return takeSettings(context, event);
@@ -193,7 +193,7 @@
   const { leadership } = context.state;
   noteListedServers(context);
   if (leadership !== null) {
-    noteServers(context, leadership);
+    recordServerList(context, leadership);
   }
 }
 
@@ -203,12 +203,12 @@
     receiveQuarantinesRead(context, event);
   } else if (event.object === 'leader') {
     if (leadership === null) {
-      election.receiveLeaderObject(context, event);
+      election.receiveLeaderRecord(context, event);
     } else {
-      receiveLeaderRead(context, leadership, event);
+      receiveConfirmationRead(context, leadership, event);
     }
   } else if (leadership === null) {
-    election.receiveOwnershipObject(context, event);
+    election.receiveOwnershipRecord(context, event);
   }
 }
 
--- a/src/router/request/attempt-outcome.ts
+++ b/src/router/request/attempt-outcome.ts
@@ -1,7 +1,7 @@
 /** Applies the result of an attempt to its request and its server. */
 import type { AttemptEndedEvent, AttemptResult, LoadReading } from '../events.js';
 import type { Milliseconds } from '../model/identifiers.js';
-import { noteTurnedAway } from '../ownership/isolation.js';
+import { recordMisdirectedRequest } from '../ownership/isolation.js';
 import type { RouterContext } from '../router-context.js';
 import type { KnownServer } from '../router-state.js';
 import { CRASHES_FOR_QUARANTINE } from '../quarantine/crash-entry.js';
@@ -175,7 +175,7 @@
   }
   if (request.key !== null && result.misdirected) {
     // This daemon's view of ownership is older than the server's; a newer one arrives soon unless this daemon is cut off.
-    noteTurnedAway(context, request.service, request.key);
+    recordMisdirectedRequest(context, request.service, request.key);
     request.retryAt = now + HELD_RETRY_INTERVAL;
     return;
   }
--- a/src/router/router-state.ts
+++ b/src/router/router-state.ts
@@ -7,9 +7,9 @@
 import { RouteTable } from './model/route-table.js';
 import type { InstanceName } from './model/server-life.js';
 import type { ServerDescription } from './model/server.js';
-import { DoubtedUnits } from './ownership/doubted-units.js';
-import { createElection, type ElectionState } from './ownership/election-state.js';
-import { createIsolation, type Isolation } from './ownership/isolation-state.js';
+import { RecentlyRejectedUnits } from './ownership/recently-rejected-units.js';
+import { createElectionState, type ElectionState } from './ownership/election-state.js';
+import { createIsolationState, type IsolationState } from './ownership/isolation-state.js';
 import type { Leadership } from './ownership/leadership-state.js';
 import { createFeedHealths, type FeedHealth } from './news/feed-health-state.js';
 import { ServerHistory } from './news/server-history.js';
@@ -103,9 +103,9 @@
   /** Daemons that share the retry budget, as last heard. */
   daemons: number;
   view: OwnershipView;
-  readonly doubtedUnits: DoubtedUnits;
+  readonly doubtedUnits: RecentlyRejectedUnits;
   readonly election: ElectionState;
-  readonly isolation: Isolation;
+  readonly isolation: IsolationState;
   /** Set while this daemon leads. */
   leadership: Leadership | null;
   readonly requests: Map<number, ActiveRequest>;
@@ -160,9 +160,9 @@
     profiles: new Map(),
     daemons: FIRST_DAEMONS,
     view: EMPTY_VIEW,
-    doubtedUnits: new DoubtedUnits(),
-    election: createElection(),
-    isolation: createIsolation(),
+    doubtedUnits: new RecentlyRejectedUnits(),
+    election: createElectionState(),
+    isolation: createIsolationState(),
     leadership: null,
     requests: new Map(),
     early: new Map(),
@@ -203,7 +203,7 @@
   if (heardAt(state) < state.resumedAt) {
     return 'the machine was suspended, and neither leader nor store has been heard since';
   }
-  if (state.isolation.viewIsOld) {
+  if (state.isolation.isViewStale) {
     return 'cut off from the leader and the store, with an old view of ownership';
   }
   return null;
--- a/src/router/tree/children.ts
+++ b/src/router/tree/children.ts
@@ -3,7 +3,7 @@
 import { catchUp } from '../news/spread-news.js';
 import { takeEvacuations } from '../news/take-evacuations.js';
 import { describeNotices } from '../notices/known-notices.js';
-import { wholeStatement } from '../ownership/ownership-statement.js';
+import { fullOwnershipMessage } from '../ownership/ownership-broadcast.js';
 import type { Report } from '../peers/messages.js';
 import type { RouterContext } from '../router-context.js';
 import { buildHeartbeat } from './heartbeats.js';
@@ -82,7 +82,7 @@
   const isChanging = leadership?.viewChanged === true;
   if (isCurrent && report.ownershipSequence !== view.sequence && !isChanging) {
     // The child missed an ownership change or has just connected.
-    context.emit({ kind: 'sendToChildren', link, message: wholeStatement(view) });
+    context.emit({ kind: 'sendToChildren', link, message: fullOwnershipMessage(view) });
   }
   catchUp(context, link, child, report);
 }
--- a/src/router/tree/heartbeats.ts
+++ b/src/router/tree/heartbeats.ts
@@ -1,10 +1,6 @@
 /** Heartbeats to the children: the leader's own, or those that a relay forwards with the age of the leader's last heartbeat. */
 import type { Milliseconds } from '../model/identifiers.js';
-import {
-  CONFIRMATION_VALIDITY,
-  HEARTBEAT_INTERVAL,
-  HEARTBEAT_PATIENCE,
-} from '../ownership/ownership-timing.js';
+import { LEADERSHIP_VALIDITY, HEARTBEAT_INTERVAL, HEARTBEAT_TIMEOUT } from '../ownership/ownership-timing.js';
 import { newsAge } from '../news/news-age.js';
 import type { Heartbeat } from '../peers/messages.js';
 import type { RouterContext } from '../router-context.js';
@@ -37,8 +33,7 @@
   const { election, isolation } = state;
   const { leader } = election;
   const heardAge = now - election.lastHeartbeatAt;
-  const isConnected =
-    heardAge <= HEARTBEAT_PATIENCE || now - isolation.storeAnsweredAt <= RECENT_STORE_ANSWER;
+  const isConnected = heardAge <= HEARTBEAT_TIMEOUT || now - isolation.storeAnsweredAt <= RECENT_STORE_ANSWER;
   if (leader === null || !Number.isFinite(heardAge) || !isConnected) {
     return null;
   }
@@ -63,7 +58,7 @@
 function buildLeaderHeartbeat(context: RouterContext): Heartbeat | null {
   const { state, now } = context;
   const { leadership, identity } = state;
-  if (leadership === null || now - leadership.confirmedAt > CONFIRMATION_VALIDITY) {
+  if (leadership === null || now - leadership.confirmedAt > LEADERSHIP_VALIDITY) {
     return null;
   }
   return {
--- a/src/router/tree/parent.ts
+++ b/src/router/tree/parent.ts
@@ -1,7 +1,7 @@
 /** A daemon's parent: the leader, or a relay to which the leader redirected it. A daemon that loses its relay reconnects to the leader. */
 import type { ParentLinkClosedEvent } from '../events.js';
 import type { Milliseconds } from '../model/identifiers.js';
-import { HEARTBEAT_PATIENCE } from '../ownership/ownership-timing.js';
+import { HEARTBEAT_TIMEOUT } from '../ownership/ownership-timing.js';
 import type { Redirect } from '../peers/messages.js';
 import type { RouterContext } from '../router-context.js';
 import { hasRelayParent } from './tree-state.js';
@@ -44,7 +44,7 @@
   const { tree } = context.state;
   if (
     hasRelayParent(context.state.tree, context.state.election.leader?.address) &&
-    context.now - tree.lastParentContactAt > HEARTBEAT_PATIENCE
+    context.now - tree.lastParentContactAt > HEARTBEAT_TIMEOUT
   ) {
     returnToLeader(context, 'silent');
   }
