--- a/src/router/quarantine/broken-connections.ts
+++ b/src/router/quarantine/broken-connections.ts
@@ -1,26 +1,27 @@
-/** Connections that servers ended, until it is known whether their processes have. */
+/** State of crash detection: servers that closed connections under requests and may have crashed. */
 import type { Milliseconds, ServerId } from '../model/identifiers.js';
 import type { RequestFingerprint } from '../model/request-fingerprint.js';
 import type { ServerDescription } from '../model/server.js';
 
-/** A server whose side ended connections, until it is known why. */
+/** A server that closed connections under requests, until it is known whether its process has ended. */
 export interface BrokenConnection {
   readonly server: ServerDescription;
+  /** When the first of these connections closed. */
   readonly brokenAt: Milliseconds;
-  /** The requests that were there. */
+  /** The requests that were in flight on these connections. */
   readonly requests: Set<RequestFingerprint>;
   nextProbeAt: Milliseconds;
   probes: number;
 }
 
-/** What a daemon has seen break and does not understand yet. */
+/** The suspected crashes that this daemon has not decided yet. */
 export interface ServerEnds {
   readonly broken: Map<ServerId, BrokenConnection>;
-  /** Servers that are probed, by the number of the call. */
+  /** Servers with a probe in progress, by the number of the control call. */
   readonly probes: Map<number, ServerId>;
 }
 
-/** Nothing has been seen. */
+/** Returns the state of a daemon that has seen no connection break. */
 export function createServerEnds(): ServerEnds {
   return { broken: new Map(), probes: new Map() };
 }
--- a/src/router/quarantine/crash-entry.ts
+++ b/src/router/quarantine/crash-entry.ts
@@ -1,33 +1,42 @@
-/** What a daemon knows of one request under which servers have ended. */
+/** The crash record of one request, as this daemon knows it. */
 import type { Milliseconds, ServerId } from '../model/identifiers.js';
 import type { CrashedServer, CrashRecord } from './crash-record.js';
 import { LostCopies } from './lost-copies.js';
 
-/** A request under which this many servers have ended, and which none has answered since, is kept from servers. */
+/** A request under which this many servers have crashed, and that no server has answered since, is quarantined. */
 export const CRASHES_FOR_QUARANTINE = 3;
-/** A request that is held back is sent once in this time, by the leader: its answer, or the end of a server, is known by then. */
+/**
+ * A request that is held back is sent once per interval, by the leader. The answer to it, or the crash of a server, is
+ * known before the next one is sent.
+ */
 const TRIAL_INTERVAL: Milliseconds = 1_000;
-/** Ends that are kept for one request: a few more than are needed, in case some prove to be none. */
+/** Crashes kept for one request: more than a quarantine needs, because some may turn out not to be crashes. */
 const MOST_ENDS = 6;
-/** Servers of which it is kept that their ends don't count. */
+/** Exonerated servers kept for one request. */
 const MOST_EXONERATED = 12;
 /**
- * Servers that end within this time of each other may have one cause of their own, as the loss of a zone: they put no request into quarantine
- * that was merely there.
+ * Servers that crash within this time of each other may share another cause, such as the loss of a zone. They alone
+ * don't quarantine a request that was merely in flight on all of them.
  */
 const LONGEST_BURST: Milliseconds = 500;
-/** A quarantine has stood for so long, and refused so many tries at the leader, before the request is sent once more. */
+/**
+ * The leader sends a quarantined request once more when its record has been unchanged for this long and the leader has
+ * refused more than the given number of requests since then.
+ */
 const RETEST_DELAY: Milliseconds = 10_000;
 const REFUSALS_BEFORE_RETEST = 20;
-/** A caller that comes back more seldom than this is not recognized. */
+/** How long a suspicion is kept. A request that is repeated at longer intervals is not recognized as suspected. */
 const SUSPICION_MEMORY: Milliseconds = 600_000;
-/** A record without ends that count is kept so long: others that still have such an end are told otherwise. */
+/**
+ * How long a record without counted crashes is kept: meanwhile its exonerations correct daemons that still count one of
+ * the crashes.
+ */
 const EXONERATION_MEMORY: Milliseconds = 60_000;
 
-/** What an end that was told of changes. */
+/** What adding a crash to an entry changed. */
 export interface AddedEnd {
   readonly isNew: boolean;
-  /** The end that gave way to it, or null. */
+  /** The server whose crash was evicted to make room, or null. */
   readonly dropped: ServerId | null;
 }
 
@@ -37,43 +46,43 @@
   readonly fingerprint: string;
   quarantined = false;
   retested = false;
-  /** Copies of the request that were lost with each of the servers that ended. */
+  /** Copies of the request that were lost with each crashed server. */
   readonly copies = new LostCopies();
-  /** When the connections to each server that ended broke. */
-  readonly #ended = new Map<ServerId, Milliseconds>();
+  /** When the connections to each crashed server broke. */
+  readonly #crashTimes = new Map<ServerId, Milliseconds>();
   readonly #exonerated = new Set<ServerId>();
-  /** When it was last sent all the same. */
-  #trialAt: Milliseconds = Number.NEGATIVE_INFINITY;
-  /** Tries that were refused here since the quarantine began. */
+  /** When the request was last sent although it was held back. */
+  #lastTrialAt: Milliseconds = Number.NEGATIVE_INFINITY;
+  /** Requests refused by this daemon towards the next retest. */
   #refusals = 0;
-  /** When this daemon heard of the first end that counts. */
+  /** When this daemon learned of the first crash that counts. */
   #suspectedAt: Milliseconds;
-  #changedAt: Milliseconds;
+  #lastChangedAt: Milliseconds;
 
   constructor(fingerprint: string, now: Milliseconds) {
     this.fingerprint = fingerprint;
     this.#suspectedAt = now;
-    this.#changedAt = now;
+    this.#lastChangedAt = now;
   }
 
-  /** Servers that have ended under it, as far as that counts. */
+  /** Servers that crashed under the request and are not exonerated. */
   get ended(): ServerId[] {
-    return [...this.#ended.keys()];
+    return [...this.#crashTimes.keys()];
   }
 
-  /** It says nothing of any server. */
+  /** Whether the entry names no server, neither crashed nor exonerated. */
   get isBare(): boolean {
-    return this.#ended.size === 0 && this.#exonerated.size === 0;
+    return this.#crashTimes.size === 0 && this.#exonerated.size === 0;
   }
 
-  /** Enough servers have ended under it, and it is not in quarantine yet. */
+  /** Whether enough servers have crashed under the request and it is not quarantined yet. */
   get isRipe(): boolean {
-    return !this.quarantined && this.#ended.size >= CRASHES_FOR_QUARANTINE;
+    return !this.quarantined && this.#crashTimes.size >= CRASHES_FOR_QUARANTINE;
   }
 
   record(now: Milliseconds): CrashRecord {
     const { fingerprint, quarantined, retested } = this;
-    const ended = [...this.#ended].map(([server, at]) => ({
+    const ended = [...this.#crashTimes].map(([server, at]) => ({
       server,
       age: Math.max(0, Math.round(now - at)),
       copies: this.copies.of(server),
@@ -81,40 +90,43 @@
     return { fingerprint, ended, exonerated: [...this.#exonerated], quarantined, retested };
   }
 
-  /** A server has ended under it. */
+  /** Adds the crash of a server under the request. */
   addEnd({ server, age, copies = [] }: CrashedServer, now: Milliseconds): AddedEnd {
     const at = now - age;
-    if (this.#ended.has(server)) {
+    if (this.#crashTimes.has(server)) {
       return { isNew: this.copies.add(server, copies, now), dropped: null };
     }
     if (this.#exonerated.has(server)) {
       return NOTHING_ADDED;
     }
-    const newest = this.#ended.size < MOST_ENDS ? null : this.#newestEnd();
-    if (newest !== null && at <= (this.#ended.get(newest) ?? 0)) {
+    const newest = this.#crashTimes.size < MOST_ENDS ? null : this.#latestCrashedServer();
+    if (newest !== null && at <= (this.#crashTimes.get(newest) ?? 0)) {
       return NOTHING_ADDED;
     }
     if (newest !== null) {
       this.dropEnd(newest);
     }
-    this.#suspectedAt = this.#ended.size === 0 ? now : this.#suspectedAt;
-    this.#ended.set(server, at);
+    this.#suspectedAt = this.#crashTimes.size === 0 ? now : this.#suspectedAt;
+    this.#crashTimes.set(server, at);
     this.copies.add(server, copies, now);
     return { isNew: true, dropped: newest };
   }
 
-  /** The newest end gives way to one that is newer still: the span from the first to the last one counts. */
-  #newestEnd(): ServerId {
-    const [newest] = [...this.#ended].reduce((left, right) => (right[1] > left[1] ? right : left));
+  /**
+   * Returns the server that crashed last. In a full entry only a later crash replaces it, so that the span from the first
+   * to the last crash is kept.
+   */
+  #latestCrashedServer(): ServerId {
+    const [newest] = [...this.#crashTimes].reduce((left, right) => (right[1] > left[1] ? right : left));
     return newest;
   }
 
   dropEnd(server: ServerId): void {
-    this.#ended.delete(server);
+    this.#crashTimes.delete(server);
     this.copies.forget(server);
   }
 
-  /** A server's end doesn't count. Returns whether that is news. */
+  /** Records that a server's crash doesn't count. Returns whether the server was not exonerated before. */
   exonerate(server: ServerId): boolean {
     if (this.#exonerated.has(server)) {
       return false;
@@ -125,11 +137,11 @@
       this.#exonerated.delete(oldest);
     }
     this.dropEnd(server);
-    this.quarantined &&= this.#ended.size >= CRASHES_FOR_QUARANTINE;
+    this.quarantined &&= this.#crashTimes.size >= CRASHES_FOR_QUARANTINE;
     return true;
   }
 
-  /** Whether the request is in quarantine from now on and was not before. */
+  /** Quarantines the request if it is a candidate. Returns whether it did. */
   confirm(): boolean {
     if (!this.isRipe) {
       return false;
@@ -139,25 +151,25 @@
     return true;
   }
 
-  /** Whether enough servers have ended for long enough, and not all at once. */
+  /** Whether the request has been suspected for the confirmation time, of crashes that didn't all happen at once. */
   isSuspectedFor(confirmation: Milliseconds, now: Milliseconds): boolean {
-    const times = [...this.#ended.values()];
+    const times = [...this.#crashTimes.values()];
     const span = Math.max(...times) - Math.min(...times);
     return now - this.#suspectedAt >= confirmation && span >= LONGEST_BURST;
   }
 
-  /** It is held back and has come again; whether it is sent now. */
+  /** Returns whether a request that is held back and was received again is sent now. */
   takeTrial(now: Milliseconds): boolean {
-    if (now - this.#trialAt < TRIAL_INTERVAL) {
+    if (now - this.#lastTrialAt < TRIAL_INTERVAL) {
       return false;
     }
-    this.#trialAt = now;
+    this.#lastTrialAt = now;
     return true;
   }
 
-  /** It is in quarantine and has come again; whether it is sent now. */
+  /** Returns whether a quarantined request that was received again is sent now. */
   takeRetest(now: Milliseconds): boolean {
-    if (this.retested || now - this.#changedAt < RETEST_DELAY) {
+    if (this.retested || now - this.#lastChangedAt < RETEST_DELAY) {
       return false;
     }
     this.#refusals += 1;
@@ -169,12 +181,12 @@
   }
 
   noteChanged(now: Milliseconds): void {
-    this.#changedAt = now;
+    this.#lastChangedAt = now;
   }
 
-  /** Nobody needs it any more. */
+  /** Whether the entry has been unchanged for longer than its retention time. Quarantines don't expire. */
   isExpired(now: Milliseconds): boolean {
-    const memory = this.#ended.size > 0 ? SUSPICION_MEMORY : EXONERATION_MEMORY;
-    return !this.quarantined && now - this.#changedAt > memory;
+    const retention = this.#crashTimes.size > 0 ? SUSPICION_MEMORY : EXONERATION_MEMORY;
+    return !this.quarantined && now - this.#lastChangedAt > retention;
   }
 }
--- a/src/router/quarantine/crash-record.ts
+++ b/src/router/quarantine/crash-record.ts
@@ -1,29 +1,29 @@
-/** What daemons tell each other of requests under which servers have ended. */
+/** The records that daemons exchange about requests under which servers crashed. */
 import type { Milliseconds, ServerId } from '../model/identifiers.js';
 
-/** A server that ended while it had a request. */
+/** A server that crashed while it was running a request. */
 export interface CrashedServer {
   readonly server: ServerId;
-  /** How long ago its connection broke. */
+  /** How long ago the connection to the server broke. */
   readonly age: Milliseconds;
-  /** Names of copies of the request that were lost there, a few of them; absent: not counted. */
+  /** Names of copies of the request that were lost with the server, a few of them; absent: not counted. */
   readonly copies?: string[];
 }
 
-/** What daemons tell each other of one request. */
+/** The crashes attributed to one request. */
 export interface CrashRecord {
   /** The value of the request's fingerprint. */
   readonly fingerprint: string;
   readonly ended: CrashedServer[];
-  /** Servers whose ends don't count: they answered afterwards, or the request was answered elsewhere. */
+  /** Servers whose crashes don't count: they answered afterwards, or another server answered the request. */
   readonly exonerated: ServerId[];
-  /** The request is kept from servers. */
+  /** Whether the request is no longer sent to servers. */
   readonly quarantined: boolean;
-  /** It was sent once more in spite of that, and the server's side ended the connection again. */
+  /** Whether the quarantined request was sent once more and the server's side closed the connection again. */
   readonly retested: boolean;
 }
 
-/** A record that says nothing of a request. */
+/** Returns a record of a request without crashes. */
 export function emptyRecord(fingerprint: string): CrashRecord {
   return { fingerprint, ended: [], exonerated: [], quarantined: false, retested: false };
 }
--- a/src/router/quarantine/crash-table.ts
+++ b/src/router/quarantine/crash-table.ts
@@ -1,7 +1,7 @@
 /**
- * Under which requests servers have ended, as the daemons know it together: a replicated set that each of them holds
- * whole. Ends are named by the server's id, which no other life ever has, so that two daemons that saw the same end count it once, and
- * records may come in any order, and again. Bounded in entries and in servers for each.
+ * Table of requests under which servers crashed, replicated in full to every daemon. A crash is identified by the server's
+ * id, which is unique to one incarnation, so that a crash observed by two daemons counts once, and records may arrive
+ * in any order and more than once. The numbers of entries and of servers per entry are bounded.
  */
 import type { Milliseconds, ServerId } from '../model/identifiers.js';
 import { headOf, type RequestFingerprint } from '../model/request-fingerprint.js';
@@ -9,89 +9,95 @@
 import { type CrashedServer, type CrashRecord, emptyRecord } from './crash-record.js';
 import { ServerBlames } from './server-blames.js';
 
-/** With about 100 bytes a record, a daemon that joins is sent 75 KB at most, and holds 0.4 MB. */
+/** At about 100 bytes per record, a daemon that joins receives at most 75 KB. The table takes up to 0.4 MB. */
 const MOST_SUSPICIONS = 512;
 const MOST_QUARANTINES = 256;
 
 export class CrashTable {
-  /** The one that changed last comes last. */
+  /** Entries by the value of the fingerprint, in the order of their last change. */
   readonly #entries = new Map<string, CrashEntry>();
-  /** How many entries have each head. */
-  readonly #heads = new Map<string, number>();
-  /** Those with enough ends that are not in quarantine yet: few, so that each tick can look at them. */
-  readonly #ripe = new Set<CrashEntry>();
-  readonly #blames = new ServerBlames();
+  /** The number of entries for each fingerprint head. */
+  readonly #headCounts = new Map<string, number>();
+  /** Entries with enough crashes that are not quarantined yet: few enough to be checked at each tick. */
+  readonly #candidates = new Set<CrashEntry>();
+  readonly #suspects = new ServerBlames();
 
-  /** Nothing is known of any request: nobody needs a fingerprint. */
+  /** Whether the table has no entry, in which case no request's fingerprint has to be computed. */
   get isEmpty(): boolean {
     return this.#entries.size === 0;
   }
 
-  /** Requests that are suspected and not in quarantine. */
+  /** The number of requests that are suspected and not quarantined. */
   get suspicions(): number {
     return [...this.#entries.values()].filter(({ ended, quarantined }) => ended.length > 0 && !quarantined)
       .length;
   }
 
-  /** The requests in quarantine; the newest last. */
+  /** Returns the records of quarantined requests, the last changed one last. */
   quarantines(now: Milliseconds): CrashRecord[] {
     return [...this.#entries.values()]
       .filter(({ quarantined }) => quarantined)
       .map((entry) => entry.record(now));
   }
 
-  /** Everything, for a daemon that knows nothing of it. */
+  /** Returns all records, for a daemon that has just joined. */
   records(now: Milliseconds): CrashRecord[] {
     return [...this.#entries.values()].map((entry) => entry.record(now));
   }
 
-  /** Whether a request is kept from servers. Looks at its body only when its head is known. */
+  /** Whether a request is quarantined. Reads the body of the request only when the table has its fingerprint head. */
   isQuarantined(fingerprint: RequestFingerprint): boolean {
     return this.#find(fingerprint)?.quarantined === true;
   }
 
-  /** Whether the request with the value of a fingerprint is kept from servers. */
+  /** Whether the request with this fingerprint value is quarantined. */
   holdsBack(fingerprint: string): boolean {
     return this.#entries.get(fingerprint)?.quarantined === true;
   }
 
-  /** Servers that have ended under a request, as far as is known. */
+  /** Returns the number of servers known to have crashed under a request. */
   endsUnder(fingerprint: RequestFingerprint): number {
     return this.#find(fingerprint)?.ended.length ?? 0;
   }
 
   /**
-   * Whether a request is sent one at a time only: copies of it were lost, and no server has answered one meanwhile.
+   * Whether a request is sent one copy at a time, because copies of it were lost and no server has answered it since.
    *
-   * @param confirmation for how long it must have been so
+   * @param confirmation how long ago the last of the needed copies must have been reported lost
    */
   isHeldBack(fingerprint: RequestFingerprint, confirmation: Milliseconds, now: Milliseconds): boolean {
     const entry = this.#find(fingerprint);
     return entry !== undefined && !entry.quarantined && entry.copies.areEnough(confirmation, now);
   }
 
-  /** A request that is held back has come again; whether it is sent now. */
+  /** Returns whether a request that is held back and was received again is sent now. */
   isDueForTrial(fingerprint: RequestFingerprint, now: Milliseconds): boolean {
     return this.#find(fingerprint)?.takeTrial(now) === true;
   }
 
-  /** Takes in what another daemon, the store or an observation says. Returns the record as it is now, or null when nothing is new. */
+  /**
+   * Merges a record from another daemon, the store or this daemon's own observation. Returns the merged record, or null
+   * when nothing changed.
+   */
   merge(record: CrashRecord, now: Milliseconds): CrashRecord | null {
     const entry = this.#entries.get(record.fingerprint) ?? this.#create(record.fingerprint, now);
     const exonerated = record.exonerated.filter((server) => this.#exonerate(entry, server));
-    const ended = record.ended.filter((end) => this.#addEnd(entry, end, now));
-    const isNewQuarantine = record.quarantined && this.#confirm(entry);
+    const ended = record.ended.filter((crash) => this.#addCrash(entry, crash, now));
+    const isNewQuarantine = record.quarantined && this.#quarantine(entry);
     const isNewRetest = record.retested && !entry.retested;
     entry.retested ||= record.retested;
     if (exonerated.length === 0 && ended.length === 0 && !isNewQuarantine && !isNewRetest) {
-      this.#dropIfBare(entry);
+      this.#removeIfEmpty(entry);
       return null;
     }
-    this.#touch(entry, now);
+    this.#recordChange(entry, now);
     return entry.record(now);
   }
 
-  /** A server has answered the request, or an operator lifts its quarantine: the ends that are known don't count. */
+  /**
+   * Exonerates all servers that crashed under a request, because a server has answered it or an operator lifted its
+   * quarantine. Returns the changed record, or null when no crash was counted.
+   */
   clear(fingerprint: RequestFingerprint, now: Milliseconds): CrashRecord | null {
     const entry = this.#find(fingerprint);
     return entry === undefined || entry.ended.length === 0
@@ -99,37 +105,43 @@
       : this.merge({ ...entry.record(now), ended: [], exonerated: entry.ended }, now);
   }
 
-  /** A server that was taken to have ended has answered a request that was sent after that was heard: it has not ended. */
+  /**
+   * Exonerates a server that was reported as crashed when it has answered a request that was sent after this daemon
+   * learned of the crash. Returns the changed records.
+   */
   noteAlive(server: ServerId, sentAt: Milliseconds, now: Milliseconds): CrashRecord[] {
-    return this.#blames
+    return this.#suspects
       .heardBefore(server, sentAt)
       .map((fingerprint) => this.merge({ ...emptyRecord(fingerprint), exonerated: [server] }, now))
       .filter((record) => record !== null);
   }
 
-  /** Puts requests into quarantine that have been suspected for long enough; returns their records. */
+  /** Quarantines the requests that have been suspected for the confirmation time. Returns their records. */
   confirmSuspicions(confirmation: Milliseconds, now: Milliseconds): CrashRecord[] {
-    return [...this.#ripe]
-      .filter((entry) => entry.isSuspectedFor(confirmation, now) && this.#confirm(entry))
+    return [...this.#candidates]
+      .filter((entry) => entry.isSuspectedFor(confirmation, now) && this.#quarantine(entry))
       .map((entry) => entry.record(now));
   }
 
   /**
-   * A request in quarantine has come again; whether it is sent once more all the same, since it comes so often that it is most likely a
-   * hot one which was there by chance when servers ended.
+   * Returns whether a quarantined request that was received again is sent once more. A request that is repeated this often
+   * is most likely a hot one that was in flight by chance when servers crashed.
    */
   isDueForRetest(fingerprint: RequestFingerprint, now: Milliseconds): boolean {
     return this.#find(fingerprint)?.takeRetest(now) === true;
   }
 
-  /** A request in quarantine was sent once more, and the server's side ended the connection again: that was the last time. */
+  /**
+   * Records that a quarantined request was sent once more and the server's side closed the connection again: it is not
+   * retested after that. Returns the changed record, or null when there is none.
+   */
   failRetest(fingerprint: RequestFingerprint, now: Milliseconds): CrashRecord | null {
     return this.isQuarantined(fingerprint)
       ? this.merge({ ...emptyRecord(fingerprint.value), retested: true }, now)
       : null;
   }
 
-  /** Forgets what nobody needs any more. Quarantines stay. */
+  /** Removes entries whose retention time is over. Quarantines stay. */
   expire(now: Milliseconds): void {
     for (const entry of this.#entries.values()) {
       if (entry.isExpired(now)) {
@@ -139,7 +151,7 @@
   }
 
   #find(fingerprint: RequestFingerprint): CrashEntry | undefined {
-    return this.#entries.size > 0 && this.#heads.has(fingerprint.head)
+    return this.#entries.size > 0 && this.#headCounts.has(fingerprint.head)
       ? this.#entries.get(fingerprint.value)
       : undefined;
   }
@@ -148,47 +160,47 @@
     const entry = new CrashEntry(fingerprint, now);
     const head = headOf(fingerprint);
     this.#entries.set(fingerprint, entry);
-    this.#heads.set(head, (this.#heads.get(head) ?? 0) + 1);
+    this.#headCounts.set(head, (this.#headCounts.get(head) ?? 0) + 1);
     return entry;
   }
 
-  #addEnd(entry: CrashEntry, end: CrashedServer, now: Milliseconds): boolean {
-    const { isNew, dropped } = entry.addEnd(end, now);
+  #addCrash(entry: CrashEntry, crash: CrashedServer, now: Milliseconds): boolean {
+    const { isNew, dropped } = entry.addEnd(crash, now);
     if (dropped !== null) {
-      this.#blames.forget(dropped, entry.fingerprint);
+      this.#suspects.forget(dropped, entry.fingerprint);
     }
     if (isNew) {
-      this.#blames.add(end.server, entry.fingerprint, now);
-      this.#noteRipeness(entry);
+      this.#suspects.add(crash.server, entry.fingerprint, now);
+      this.#updateCandidacy(entry);
     }
     return isNew;
   }
 
   #exonerate(entry: CrashEntry, server: ServerId): boolean {
-    const isNews = entry.exonerate(server);
-    if (isNews) {
-      this.#blames.forget(server, entry.fingerprint);
-      this.#noteRipeness(entry);
+    const isNew = entry.exonerate(server);
+    if (isNew) {
+      this.#suspects.forget(server, entry.fingerprint);
+      this.#updateCandidacy(entry);
     }
-    return isNews;
+    return isNew;
   }
 
-  #noteRipeness(entry: CrashEntry): void {
+  #updateCandidacy(entry: CrashEntry): void {
     if (entry.isRipe) {
-      this.#ripe.add(entry);
+      this.#candidates.add(entry);
     } else {
-      this.#ripe.delete(entry);
+      this.#candidates.delete(entry);
     }
   }
 
-  /** Whether the request is in quarantine from now on and was not before. */
-  #confirm(entry: CrashEntry): boolean {
+  /** Quarantines the request if it is a candidate. Returns whether it did. */
+  #quarantine(entry: CrashEntry): boolean {
     const isNew = entry.confirm();
-    this.#noteRipeness(entry);
+    this.#updateCandidacy(entry);
     return isNew;
   }
 
-  #touch(entry: CrashEntry, now: Milliseconds): void {
+  #recordChange(entry: CrashEntry, now: Milliseconds): void {
     entry.noteChanged(now);
     this.#entries.delete(entry.fingerprint);
     this.#entries.set(entry.fingerprint, entry);
@@ -198,13 +210,13 @@
     }
   }
 
-  /** A quarantine never goes for a suspicion. */
+  /** Removes the oldest quarantines, or the oldest suspicions, beyond a limit: a suspicion never displaces a quarantine. */
   #removeOldest(quarantined: boolean, limit: number): void {
-    const alike = [...this.#entries.values()].filter((entry) => entry.quarantined === quarantined);
-    alike.slice(0, Math.max(0, alike.length - limit)).forEach((entry) => this.#remove(entry));
+    const sameState = [...this.#entries.values()].filter((entry) => entry.quarantined === quarantined);
+    sameState.slice(0, Math.max(0, sameState.length - limit)).forEach((entry) => this.#remove(entry));
   }
 
-  #dropIfBare(entry: CrashEntry): void {
+  #removeIfEmpty(entry: CrashEntry): void {
     if (entry.isBare) {
       this.#remove(entry);
     }
@@ -213,16 +225,16 @@
   #remove(entry: CrashEntry): void {
     for (const server of entry.ended) {
       entry.dropEnd(server);
-      this.#blames.forget(server, entry.fingerprint);
+      this.#suspects.forget(server, entry.fingerprint);
     }
-    this.#ripe.delete(entry);
+    this.#candidates.delete(entry);
     this.#entries.delete(entry.fingerprint);
     const head = headOf(entry.fingerprint);
-    const left = (this.#heads.get(head) ?? 1) - 1;
+    const left = (this.#headCounts.get(head) ?? 1) - 1;
     if (left === 0) {
-      this.#heads.delete(head);
+      this.#headCounts.delete(head);
     } else {
-      this.#heads.set(head, left);
+      this.#headCounts.set(head, left);
     }
   }
 }
--- a/src/router/quarantine/lost-copies.ts
+++ b/src/router/quarantine/lost-copies.ts
@@ -1,48 +1,49 @@
 /**
- * Copies of one request that were lost with servers that ended, and since when there are so many that it is sent one at a time. A request that
- * came twelve times a second was sent to two more servers in eight copies while its ends were counted by servers alone.
+ * Copies of one request that were lost with crashed servers, and since when there have been so many that the request is
+ * sent one copy at a time. Counting crashed servers alone reacts too late: a request received twelve times a second was
+ * sent to two more servers, in eight copies, before three servers had crashed under it.
  */
 import type { Milliseconds, ServerId } from '../model/identifiers.js';
 
-/** So many copies, at one server or at several, make a request suspect. */
+/** A request is held back after this many copies of it were lost, with one server or with several. */
 export const COPIES_FOR_HOLD = 3;
 
-/** A set for each server: additions may come in any order, and again. */
+/** A set of copies for each server, so that additions may arrive in any order and more than once. */
 export class LostCopies {
   readonly #byServer = new Map<ServerId, Set<string>>();
-  #heldSince: Milliseconds = Number.POSITIVE_INFINITY;
+  #thresholdMetAt: Milliseconds = Number.POSITIVE_INFINITY;
 
-  /** Those that are known of a server, by name. */
+  /** Returns the names of copies that were lost with a server. */
   of(server: ServerId): string[] {
     return [...(this.#byServer.get(server) ?? [])];
   }
 
-  /** Takes copies in by name. Returns whether that is news: no more are kept than matter. */
+  /** Adds lost copies by name, up to the threshold for each server. Returns whether any was added. */
   add(server: ServerId, copies: readonly string[], now: Milliseconds): boolean {
     const known = this.#byServer.get(server) ?? new Set<string>();
     const added = copies.filter((copy) => !known.has(copy)).slice(0, COPIES_FOR_HOLD - known.size);
     added.forEach((copy) => known.add(copy));
     this.#byServer.set(server, known);
-    if (this.#total() >= COPIES_FOR_HOLD) {
-      this.#heldSince = Math.min(this.#heldSince, now);
+    if (this.#copyCount() >= COPIES_FOR_HOLD) {
+      this.#thresholdMetAt = Math.min(this.#thresholdMetAt, now);
     }
     return added.length > 0;
   }
 
-  /** The end of a server doesn't count any more. */
+  /** Removes the copies of a server whose crash no longer counts. */
   forget(server: ServerId): void {
     this.#byServer.delete(server);
-    if (this.#total() < COPIES_FOR_HOLD) {
-      this.#heldSince = Number.POSITIVE_INFINITY;
+    if (this.#copyCount() < COPIES_FOR_HOLD) {
+      this.#thresholdMetAt = Number.POSITIVE_INFINITY;
     }
   }
 
-  /** Whether there have been enough of them for some time. */
+  /** Whether the threshold has been met for at least the confirmation time. */
   areEnough(confirmation: Milliseconds, now: Milliseconds): boolean {
-    return now - this.#heldSince >= confirmation;
+    return now - this.#thresholdMetAt >= confirmation;
   }
 
-  #total(): number {
+  #copyCount(): number {
     return [...this.#byServer.values()].reduce((total, { size }) => total + size, 0);
   }
 }
--- a/src/router/quarantine/quarantine.ts
+++ b/src/router/quarantine/quarantine.ts
@@ -1,7 +1,8 @@
 /**
- * Crash attribution: counts the servers that ended under a request over all daemons, and keeps a request from servers once there are
- * enough. What ran at a server that ended shares the blame; a success elsewhere clears it. docs/design/quarantine.md
- * tells why nobody innocent stays in quarantine, and the ways weighed.
+ * Attributes server crashes to requests: counts, over all daemons, the servers that crashed under a request, and stops
+ * sending the request to servers once there are enough. Every request that was running on a crashed server is suspected;
+ * a success on another server exonerates it. docs/design/quarantine.md explains why no innocent request stays in
+ * quarantine, and the alternatives considered.
  */
 import type { CrashNews, NewsSource } from '../peers/messages.js';
 import type { Milliseconds, ServerId } from '../model/identifiers.js';
@@ -14,27 +15,28 @@
 import type { BrokenConnection } from './broken-connections.js';
 
 /**
- * Part of the time in which daemons that are in touch have to agree, for which a request is suspected before it is kept from servers.
- * Servers that are lost at the same moment have the same hot request in flight; meanwhile it is answered elsewhere and cleared. The
- * rest is for finding out that a server has ended (0.2 s) and for the way through the tree when a relay was just lost (1.2 s).
+ * A request is quarantined after it has been suspected for this share of the time in which connected daemons have to
+ * agree. Servers that are lost at the same moment have the same hot request in flight; while it is only suspected,
+ * another server answers it, which exonerates it. The remaining time is for detecting that a server has crashed (0.2 s)
+ * and for propagation through the tree when a relay has just been lost (1.2 s).
  */
 const CONFIRMATION_PART = 0.4;
-/** Records expire within minutes: a look in a second is enough. */
+/** Records are kept for minutes, so checking them for expiry once per second is enough. */
 const EXPIRY_INTERVAL: Milliseconds = 1_000;
 const FIRST_SERVER_FAILURE = 500;
-/** Fingerprints that one line of the log names. */
+/** Maximum number of fingerprints in one log line. */
 const MOST_LOGGED = 8;
-/** What a caller is told while a request is sent one at a time. */
+/** Reason given to the caller of a request that is held back. */
 const HOLD_REASON = 'copies of this request were lost with a server: one at a time is sent';
-/** By then an answer, or another end, may have decided. */
+/** By then an answer, or the crash of another server, may have decided whether the request is at fault. */
 const HOLD_RETRY_AFTER: Milliseconds = 1_000;
-/** What a caller is told. */
+/** Reason given to the caller of a quarantined request. */
 export const QUARANTINE_REASON = 'servers have ended under this request: it is not sent to any other';
 
-/** Where records come from: this daemon's own observations among them. */
+/** The origin of a record: another daemon, the store, or this daemon's own observation. */
 type RecordSource = NewsSource | 'observed';
 
-/** Records that changed here go to the neighbours that don't know of it. */
+/** Sends changed records to the children, and to the parent unless they came from there. */
 function spread(context: RouterContext, records: readonly CrashRecord[], source: RecordSource): void {
   if (records.length === 0) {
     return;
@@ -46,7 +48,7 @@
   }
 }
 
-/** A server has ended; all that it was running for this daemon is suspected. */
+/** Records that a server crashed: every request that it was running for this daemon is suspected. */
 export function noteCrash(
   context: RouterContext,
   { server, requests, brokenAt }: BrokenConnection,
@@ -71,19 +73,19 @@
       .filter((value) => value === fingerprint)
       .slice(0, COPIES_FOR_HOLD)
       .map((_, index) => `${daemon}/${life}/${index}`);
-  const rest = { exonerated: [], quarantined: false, retested: false };
+  const otherFields = { exonerated: [], quarantined: false, retested: false };
   takeRecords(
     context,
     fingerprints.map((fingerprint) => ({
       fingerprint,
       ended: [{ server: id, age, copies: copiesOf(fingerprint) }],
-      ...rest,
+      ...otherFields,
     })),
     'observed',
   );
 }
 
-/** A server answered a request. */
+/** Exonerates a server that has answered a request, if the request was sent after this daemon learned of the crash. */
 export function noteServerAlive(context: RouterContext, server: ServerId, sentAt: Milliseconds): void {
   const { crashes } = context.state;
   if (!crashes.isEmpty) {
@@ -91,14 +93,17 @@
   }
 }
 
-/** A server answered a request. A failure may have come before it got to the point at which servers end. */
+/**
+ * Exonerates a request that a server has answered. A server error doesn't count, because the request may have failed
+ * before it reached the point at which servers crash.
+ */
 export function noteRequestAnswered(context: RouterContext, request: ActiveRequest, status: number): void {
   if (!context.state.crashes.isEmpty && status < FIRST_SERVER_FAILURE) {
     clear(context, request.fingerprint, 'a server answered it');
   }
 }
 
-/** An operator says that a request may be sent to servers again. */
+/** Ends the quarantine of a request at an operator's command. */
 export function liftQuarantine(context: RouterContext, fingerprint: string): void {
   clear(context, { head: headOf(fingerprint), value: fingerprint }, 'an operator lifted it');
 }
@@ -116,14 +121,14 @@
   spread(context, [record], 'observed');
 }
 
-/** Takes in what this daemon has seen, or what another one or the store tells. */
+/** Merges records from this daemon's own observation, another daemon or the store, and begins new quarantines. */
 export function takeRecords(
   context: RouterContext,
   records: readonly CrashRecord[],
   source: RecordSource,
 ): void {
   const { crashes } = context.state;
-  const before = new Set(
+  const quarantinedBefore = new Set(
     records.map(({ fingerprint }) => fingerprint).filter((value) => crashes.holdsBack(value)),
   );
   const changed = records
@@ -131,22 +136,22 @@
     .filter((record) => record !== null);
   spread(context, changed, source);
   changed
-    .filter(({ fingerprint }) => !before.has(fingerprint))
+    .filter(({ fingerprint }) => !quarantinedBefore.has(fingerprint))
     .filter(({ quarantined }) => quarantined)
     .forEach((record) => beginQuarantine(context, record));
 }
 
-/** Another daemon told of servers that ended. */
+/** Handles another daemon's message about crashed servers. */
 export function receiveCrashNews(context: RouterContext, { records }: CrashNews, source: NewsSource): void {
   takeRecords(context, records, source);
 }
 
-/** Tells a daemon that has just connected, or a parent that was just found, all there is. */
+/** Returns all crash records, for a daemon that has just connected or a new parent; null when there are none. */
 export function describeCrashes({ state, now }: RouterContext): CrashNews | null {
   return state.crashes.isEmpty ? null : { kind: 'crashNews', records: state.crashes.records(now) };
 }
 
-/** The copies of a request that are held, wait for a retry, or are under way end at once. */
+/** Ends all copies of a quarantined request at once: those held, those waiting for a retry and those in flight. */
 function beginQuarantine(context: RouterContext, { fingerprint, ended }: CrashRecord): void {
   const { state } = context;
   state.counters.quarantines += 1;
@@ -159,8 +164,8 @@
 }
 
 /**
- * Whether a new request is kept from servers. The leader, and no other daemon, lets one through now and then when it comes very often,
- * until that has ended one more server.
+ * Whether a new request is refused because it is quarantined. Only the leader lets one through now and then, when the
+ * request is repeated very often, until one more server has crashed under it.
  */
 export function isKeptBack(context: RouterContext, request: ActiveRequest): boolean {
   const { crashes, leadership } = context.state;
@@ -174,7 +179,7 @@
   return false;
 }
 
-/** The server's side ended the connection of a request: was that one in quarantine, sent once more? */
+/** Records a failed retest when the server's side closed the connection of a quarantined request. */
 export function noteRetestLost(context: RouterContext, { fingerprint }: ActiveRequest): void {
   const record = context.state.crashes.failRetest(fingerprint, context.now);
   if (record !== null) {
@@ -183,8 +188,8 @@
 }
 
 /**
- * Whether a new request waits for others like it: several copies of it were lost with a server, though not with enough servers for a
- * quarantine. The leader sends one at a time; an answer ends this, and more ends begin the quarantine.
+ * Whether a new request is held back: several copies of it were lost with crashed servers, though with too few servers for
+ * a quarantine. The leader sends one copy at a time; an answer to it ends this state, and more crashes begin the quarantine.
  */
 export function isHeldBack(context: RouterContext, { fingerprint }: ActiveRequest): boolean {
   const { state, now } = context;
@@ -195,13 +200,13 @@
   return leadership === null || !crashes.isDueForTrial(fingerprint, now);
 }
 
-/** Refuses a request that is held back: it has not run, and may come again. */
+/** Refuses a request that is held back. It has not run, so the caller may repeat it. */
 export function refuseHeldBack(context: RouterContext, request: ActiveRequest): void {
   context.state.counters.requests_held_back += 1;
   giveUp(context, request, HOLD_REASON, HOLD_RETRY_AFTER);
 }
 
-/** Ends a request in quarantine: at once, and without a time to come back. */
+/** Refuses a quarantined request at once, without a time after which to retry. */
 export function refuseQuarantined(context: RouterContext, request: ActiveRequest): void {
   request.mayHaveRun ||= request.server !== null;
   cancelAttempt(context, request, 'cancelled, the request is in quarantine');
@@ -209,7 +214,7 @@
   giveUp(context, request, QUARANTINE_REASON, null);
 }
 
-/** Puts requests into quarantine whose suspicion has stood for long enough. */
+/** Quarantines the requests that have been suspected for the confirmation time, and removes expired records. */
 export function tickQuarantine(context: RouterContext): void {
   const { state, now } = context;
   const { crashes, bounds } = state;
--- a/src/router/quarantine/server-blames.ts
+++ b/src/router/quarantine/server-blames.ts
@@ -1,33 +1,33 @@
-/** Which requests are blamed for the end of each server. */
+/** Index from each crashed server to the requests that are suspected of the crash. */
 import type { Milliseconds, ServerId } from '../model/identifiers.js';
 
 interface Blame {
-  /** Values of fingerprints. */
+  /** Fingerprint values of the suspected requests. */
   readonly fingerprints: Set<string>;
-  /** When this daemon first heard of the end. */
+  /** When this daemon first learned of the crash. */
   readonly heardAt: Milliseconds;
 }
 
 export class ServerBlames {
-  readonly #blames = new Map<ServerId, Blame>();
+  readonly #crashes = new Map<ServerId, Blame>();
 
   add(server: ServerId, fingerprint: string, now: Milliseconds): void {
-    const blame = this.#blames.get(server) ?? { fingerprints: new Set(), heardAt: now };
-    blame.fingerprints.add(fingerprint);
-    this.#blames.set(server, blame);
+    const crash = this.#crashes.get(server) ?? { fingerprints: new Set(), heardAt: now };
+    crash.fingerprints.add(fingerprint);
+    this.#crashes.set(server, crash);
   }
 
   forget(server: ServerId, fingerprint: string): void {
-    const blame = this.#blames.get(server);
-    blame?.fingerprints.delete(fingerprint);
-    if (blame?.fingerprints.size === 0) {
-      this.#blames.delete(server);
+    const crash = this.#crashes.get(server);
+    crash?.fingerprints.delete(fingerprint);
+    if (crash?.fingerprints.size === 0) {
+      this.#crashes.delete(server);
     }
   }
 
-  /** Requests that are blamed for an end that was heard of before a moment. */
+  /** Returns the requests suspected of a server's crash, if this daemon learned of the crash before the given time. */
   heardBefore(server: ServerId, moment: Milliseconds): string[] {
-    const blame = this.#blames.get(server);
-    return blame === undefined || moment <= blame.heardAt ? [] : [...blame.fingerprints];
+    const crash = this.#crashes.get(server);
+    return crash === undefined || moment <= crash.heardAt ? [] : [...crash.fingerprints];
   }
 }
--- a/src/router/quarantine/server-ends.ts
+++ b/src/router/quarantine/server-ends.ts
@@ -1,7 +1,8 @@
 /**
- * Tells the end of a server's process from a connection that merely broke. When a server's side ends a connection under a request,
- * what follows decides: a refused connection, another life at the address, the entry's end, or silence say that the process has
- * ended; an answer says that it has not. Whoever resets connections because it is full answers the next request or probe.
+ * Distinguishes the crash of a server's process from a connection that merely broke. After a server's side has closed a
+ * connection under a request, a refused connection, another incarnation at the address, the removal of the server's
+ * entry, or no response to probes shows that the process has ended; an answer shows that it has not. A server that resets
+ * connections because it is at capacity answers the next request or probe.
  */
 import type { AttemptResult, ControlOutcome } from '../events.js';
 import type { Milliseconds, ServerId } from '../model/identifiers.js';
@@ -12,19 +13,22 @@
 import type { BrokenConnection } from './broken-connections.js';
 import { noteCrash, noteServerAlive } from './quarantine.js';
 
-/** A probe follows a broken connection this late: most often the next request has shown by then what happened. */
+/** Delay of the first probe after a connection broke: in most cases the next request has shown by then what happened. */
 const FIRST_PROBE: Milliseconds = 120;
 const PROBE_INTERVAL: Milliseconds = 400;
 const PROBE_PATIENCE: Milliseconds = 300;
 /**
- * A server that ended connections and answers none of so many probes has ended: its entry would tell 4 s after, and the request must reach no
- * more servers 3 s after.
+ * A server that closed connections and answers none of this many probes is taken for crashed. Its entry in the store would
+ * show that only after 4 s, while the request must reach no more servers from 3 s after the crash on.
  */
 const MOST_PROBES = 3;
-/** The entry of a server that has crashed is gone by then: it lapses after three missed heartbeats. */
+/** By then the entry of a crashed server is gone: it lapses after three missed heartbeats. */
 const DECISION_TIME: Milliseconds = 10_000;
 
-/** A server's side ended the connection of a request. One that leaves as planned ends as well, and nobody is to blame. */
+/**
+ * Records that a server's side closed the connection of a request. Draining servers are ignored: their processes end as
+ * planned, and no request is at fault.
+ */
 export function noteConnectionEnded(
   context: RouterContext,
   request: ActiveRequest,
@@ -46,7 +50,7 @@
   broken.set(server.id, entry);
 }
 
-/** An attempt ended: what does that say of its server? */
+/** Uses the result of an attempt as evidence of whether its server has crashed or is alive. */
 export function noteAttemptAt(
   context: RouterContext,
   server: ServerId,
@@ -58,7 +62,7 @@
   if (result.kind === 'notSent' && result.refused && entry !== undefined) {
     decide(context, entry, 'connections are refused');
   } else if (isAnswer) {
-    // An answer that was on its way when the connection broke says nothing of what came after.
+    // An answer to a request sent before the connection broke doesn't show that the server is still alive.
     if (entry !== undefined && startedAt > entry.brokenAt) {
       context.state.serverEnds.broken.delete(server);
     }
@@ -66,12 +70,12 @@
   }
 }
 
-function decide(context: RouterContext, broken: BrokenConnection, evidence: string): void {
-  context.state.serverEnds.broken.delete(broken.server.id);
-  noteCrash(context, broken, evidence);
+function decide(context: RouterContext, crash: BrokenConnection, evidence: string): void {
+  context.state.serverEnds.broken.delete(crash.server.id);
+  noteCrash(context, crash, evidence);
 }
 
-/** The list of servers changed: entries that are gone, or addresses that other lives have, decide. */
+/** Confirms crashes by a new list of servers: the entry is gone, or another incarnation has the address. */
 export function noteListedServers(context: RouterContext): void {
   const { serverEnds, servers, serversByService } = context.state;
   for (const entry of [...serverEnds.broken.values()]) {
@@ -85,7 +89,7 @@
   }
 }
 
-/** Probes servers whose connections broke and of which nothing has been heard since. */
+/** Probes servers whose connections broke and that have sent no evidence since, and drops those left undecided. */
 export function tickServerEnds(context: RouterContext): void {
   const { broken } = context.state.serverEnds;
   for (const [id, entry] of broken) {
@@ -97,10 +101,10 @@
   }
 }
 
-/** A server that wants rest isn't probed: it has answered, and a probe is one more request. */
+/** Whether a probe is due. A server in back-off isn't probed: it has answered, and a probe is one more request. */
 function isProbeDue({ state, now }: RouterContext, entry: BrokenConnection): boolean {
-  const rest = state.servers.get(entry.server.id)?.rest.left(now) ?? 0;
-  return now >= entry.nextProbeAt && entry.probes < MOST_PROBES && rest === 0;
+  const backOffLeft = state.servers.get(entry.server.id)?.rest.left(now) ?? 0;
+  return now >= entry.nextProbeAt && entry.probes < MOST_PROBES && backOffLeft === 0;
 }
 
 function probe(context: RouterContext, entry: BrokenConnection): void {
@@ -113,7 +117,7 @@
   return kind === 'unanswered' || kind === 'notSent';
 }
 
-/** Whether a call that ended was a probe of this module; takes its outcome in. */
+/** Handles the outcome of a control call if it was a crash detection probe. Returns whether it was. */
 export function receiveEndProbe(context: RouterContext, callId: number, outcome: ControlOutcome): boolean {
   const { serverEnds } = context.state;
   const server = serverEnds.probes.get(callId);
--- a/src/router/quarantine/stored-quarantines-state.ts
+++ b/src/router/quarantine/stored-quarantines-state.ts
@@ -1,20 +1,20 @@
-/** What a leader knows of the stored quarantines. */
+/** State of the stored quarantines at the leader. */
 import type { Milliseconds } from '../model/identifiers.js';
 
-/** What a leader knows of the stored object. */
+/** The leader's view of the stored object that holds the quarantines. */
 export interface StoredQuarantines {
-  /** The leadership for which it was read, or null. */
+  /** The term in which the object was read, or null when it must be read first. */
   term: number | null;
-  /** Null: there is no object. */
+  /** The revision of the object, or null when there is none. */
   revision: number | null;
-  /** The requests that it names, as text. */
+  /** The fingerprints in the object, as sorted text. */
   content: string;
-  /** Those that are being written, or null. */
+  /** The fingerprints of the write in progress, as sorted text, or null. */
   writing: string | null;
   nextCallAt: Milliseconds;
 }
 
-/** Nothing has been read. */
+/** Returns the state before the object has been read. */
 export function createStoredQuarantines(): StoredQuarantines {
   return { term: null, revision: null, content: '', writing: null, nextCallAt: 0 };
 }
--- a/src/router/quarantine/stored-quarantines.ts
+++ b/src/router/quarantine/stored-quarantines.ts
@@ -1,7 +1,7 @@
 /**
- * Keeps the requests in quarantine in the store, so that they outlast the loss of all daemons at once. Only the leader reads
- * and writes them: one read a leadership, one write for each change. Suspicions are not stored: after such a loss a request
- * would end three more servers at most before it is known again.
+ * Keeps the quarantined requests in the store, so that quarantines survive the loss of all daemons at once. Only the
+ * leader reads and writes them: one read per leadership, one write per change. Suspicions are not stored: after such a
+ * loss a request could crash at most three more servers before it is quarantined again.
  */
 import * as z from 'zod';
 import type { ObjectReadEvent, ObjectWrittenEvent } from '../events.js';
@@ -12,7 +12,7 @@
 import type { CrashRecord } from './crash-record.js';
 import { takeRecords } from './quarantine.js';
 
-/** Between two calls: those that are refused are paid for, too. */
+/** Minimum time between two calls to the store. Refused calls are billed, too. */
 const CALL_INTERVAL: Milliseconds = 500;
 const FINGERPRINT = z
   .string()
@@ -31,7 +31,7 @@
   return { quarantines };
 }
 
-/** Further ends under a request that is in quarantine are not worth a write. */
+/** Returns the sorted fingerprints alone: further crashes under a quarantined request are not worth a write. */
 function contentOf({ quarantines }: QuarantinesRecord): string {
   return quarantines
     .map(({ fingerprint }) => fingerprint)
@@ -39,7 +39,7 @@
     .join();
 }
 
-/** Reads what earlier leaders stored, then stores what changes. */
+/** Reads the quarantines that earlier leaders stored, then writes each change. */
 export function tickStoredQuarantines(context: RouterContext): void {
   const { state, now } = context;
   const { leadership, storedQuarantines: stored } = state;
@@ -70,7 +70,7 @@
   const parsed = quarantinesSchema.safeParse(value);
   state.storedQuarantines.revision = revision;
   if (!parsed.success) {
-    // It is written anew with the next change.
+    // The object can't be parsed. The next change overwrites it.
     state.storedQuarantines.content = '';
     state.counters.malformed_store_objects += 1;
     return;
@@ -86,7 +86,7 @@
   takeRecords(context, records, 'store');
 }
 
-/** The object was read by the leader. */
+/** Handles the result of the leader's read of the stored quarantines. */
 export function receiveQuarantinesRead(context: RouterContext, { outcome }: ObjectReadEvent): void {
   const { leadership, storedQuarantines: stored } = context.state;
   if (leadership === null || outcome.kind === 'failed') {
@@ -101,7 +101,7 @@
   }
 }
 
-/** The leader's write ended. */
+/** Handles the result of the leader's write of the stored quarantines. */
 export function receiveQuarantinesWritten(context: RouterContext, { outcome }: ObjectWrittenEvent): void {
   const { storedQuarantines: stored } = context.state;
   const { writing } = stored;
@@ -112,7 +112,7 @@
   } else if (outcome.kind === 'conflict') {
     takeStored(context, outcome.value, outcome.revision);
   } else if (outcome.kind === 'unknown') {
-    // It may be written, or may be later: read before anything is done on it.
+    // The write may have been applied, or may still be applied later: the object is read again before the next write.
     stored.term = null;
   }
 }
