--- a/src/router/news/feed-health-state.ts
+++ b/src/router/news/feed-health-state.ts
@@ -1,11 +1,11 @@
-/** What a daemon knows of its calls to the store for each feed. */
+/** State of this daemon's calls to the store, for each feed. */
 import type { FeedName, Milliseconds } from '../model/identifiers.js';
 
-/** What a daemon knows of its calls for one feed. */
+/** State of the calls to the store for one feed. */
 export interface FeedHealth {
-  /** When the store last answered a list or a watch; minus infinity: never. */
+  /** When the store last answered a list or watch request; minus infinity: never. */
   answeredAt: Milliseconds;
-  /** The last call ended without an answer. */
+  /** Whether the last call ended without a response. */
   failing: boolean;
 }
 
@@ -13,7 +13,7 @@
   return { answeredAt: Number.NEGATIVE_INFINITY, failing: false };
 }
 
-/** The health of all feeds at a daemon that has just started. */
+/** Returns the health of all feeds at a daemon that has just started. */
 export function createFeedHealths(): Record<FeedName, FeedHealth> {
   return {
     configuration: createFeedHealth(),
--- a/src/router/news/feed-health.ts
+++ b/src/router/news/feed-health.ts
@@ -1,8 +1,8 @@
-/** How recently the store has answered each feed, and whether a feed fails at present. */
+/** Tracks when the store last answered each feed, and which feeds are failing. */
 import type { FeedAnsweredEvent, FeedFailedEvent } from '../events.js';
 import type { RouterContext } from '../router-context.js';
 
-/** The store answered a list or a watch. */
+/** Records that the store answered a list or watch request of a feed. */
 export function receiveFeedAnswered(context: RouterContext, { feed }: FeedAnsweredEvent): void {
   const health = context.state.feeds[feed];
   health.answeredAt = context.now;
@@ -12,7 +12,7 @@
   }
 }
 
-/** A list or a watch ended without an answer that can be used. */
+/** Records that a list or watch request of a feed ended without a usable response. */
 export function receiveFeedFailed(context: RouterContext, event: FeedFailedEvent): void {
   const { feed, call, reason } = event;
   const health = context.state.feeds[feed];
--- a/src/router/news/news-timing.ts
+++ b/src/router/news/news-timing.ts
@@ -1,32 +1,35 @@
-/** How old news of the store may get before somebody asks, from the times in which changes must be in force. */
+/** Timeouts for watching the store, derived from the times within which changes must be in force. */
 import type { Milliseconds } from '../model/identifiers.js';
 import type { RouterBounds } from '../router-bounds.js';
 
-/** Part of the tightest bound that a watch waits: what is left covers its slack, a list and the way to all daemons. */
+/**
+ * Share of the shortest bound that a watch waits. The rest covers its slack, a list request and the propagation to all
+ * daemons.
+ */
 const WATCH_SHARE = 0.5;
-/** Each watch is a call to the store that is paid for. */
+/** Minimum time that a watch waits: each watch is a billed call to the store. */
 const SHORTEST_WATCH: Milliseconds = 250;
 
-/** A watch is given up this much later than its answer is due; the platform's adapter keeps to the same. */
+/** A watch times out this much later than its response is due. The platform's store adapter uses the same value. */
 const CALL_SLACK: Milliseconds = 600;
-/** Below a relay, which asks the store itself by then: not everybody at once. */
+/** Factor for daemons below a relay. The relay itself asks the store first, so that not all daemons ask at once. */
 const RELAYED_FACTOR = 2;
 
-/** The shortest of the times within which a change in the store must be in force. */
+/** Returns the shortest of the times within which a change in the store must be in force. */
 export function tightestBound({ configuration, drain, evacuation }: RouterBounds): Milliseconds {
   return Math.min(configuration, drain, evacuation ?? Number.POSITIVE_INFINITY);
 }
 
-/** How long a watch may wait for changes: it may be one that is never answered. */
+/** Returns how long a watch waits for changes. The time is bounded because a watch may never be answered. */
 export function watchTime(bounds: RouterBounds): Milliseconds {
   return Math.max(SHORTEST_WATCH, WATCH_SHARE * tightestBound(bounds));
 }
 
 /**
- * News that the store has confirmed longer ago than this are old: whoever it is that should tell this daemon, a call of
- * theirs has failed.
+ * Returns the age beyond which this daemon's copy of the store's data is stale: a call to the store by the daemon that
+ * should have sent updates must have failed.
  */
 export function newsPatience(bounds: RouterBounds, isRelayed: boolean): Milliseconds {
-  const patience = watchTime(bounds) + CALL_SLACK;
-  return isRelayed ? RELAYED_FACTOR * patience : patience;
+  const maxAge = watchTime(bounds) + CALL_SLACK;
+  return isRelayed ? RELAYED_FACTOR * maxAge : maxAge;
 }
--- a/src/router/news/server-history.ts
+++ b/src/router/news/server-history.ts
@@ -1,7 +1,7 @@
-/** The latest changes of servers, so that a daemon that missed some can be told of just those. */
+/** The latest changes of servers, so that a daemon that missed some can be sent only those. */
 import type { ServerChange } from '../peers/messages.js';
 
-/** Batches that are remembered: at one a second, four minutes. */
+/** Maximum number of batches kept: at one per second, four minutes. */
 const MOST_BATCHES = 256;
 
 interface Batch {
@@ -9,39 +9,39 @@
   readonly changes: readonly ServerChange[];
 }
 
-/** Changes after a revision of the store, up to a later one. */
+/** The changes after one revision of the store, up to and including a later one. */
 export interface ChangesSince {
   readonly revision: number;
   readonly changes: ServerChange[];
 }
 
-/** Changes in the order in which this daemon took them in. */
+/** The changes of servers in the order in which this daemon applied them. */
 export class ServerHistory {
   #batches: Batch[] = [];
-  /** Nothing before this revision is remembered. */
-  #start = 0;
+  /** Changes up to and including this revision are not kept. */
+  #startRevision = 0;
 
-  /** Every change up to this revision of the store has been taken in; 0 before the first list. */
+  /** The revision of the store up to which every change has been applied; 0 before the first list. */
   get end(): number {
-    return this.#batches.at(-1)?.revision ?? this.#start;
+    return this.#batches.at(-1)?.revision ?? this.#startRevision;
   }
 
-  /** Forgets everything: a list at a revision takes its place. */
+  /** Discards all changes, because a list at the given revision replaces them. */
   restart(revision: number): void {
     this.#batches = [];
-    this.#start = revision;
+    this.#startRevision = revision;
   }
 
-  /** Adds the changes that follow the end. */
+  /** Adds the changes that follow the last revision. */
   append(revision: number, changes: readonly ServerChange[]): void {
     this.#batches.push({ revision, changes });
-    const forgotten = this.#batches.length > MOST_BATCHES ? this.#batches.shift() : undefined;
-    this.#start = forgotten?.revision ?? this.#start;
+    const discarded = this.#batches.length > MOST_BATCHES ? this.#batches.shift() : undefined;
+    this.#startRevision = discarded?.revision ?? this.#startRevision;
   }
 
-  /** What came after a revision, the last change of each server only; null when that is not remembered. */
+  /** Returns the last change of each server after a revision, or null when changes after it are no longer kept. */
   since(revision: number): ChangesSince | null {
-    if (revision < this.#start || this.#start === 0) {
+    if (revision < this.#startRevision || this.#startRevision === 0) {
       return null;
     }
     const latest = new Map<string, ServerChange>();
--- a/src/router/news/spread-news.ts
+++ b/src/router/news/spread-news.ts
@@ -1,6 +1,7 @@
 /**
- * Passes on what is new of configuration and servers. A few daemons follow the store; the others hear from their
- * neighbours in the tree. News go once over each link: whoever knows something already does not pass it on.
+ * Propagates changes of the configuration and the servers. A few daemons watch the store; the others receive updates from
+ * their neighbours in the propagation tree. An update crosses each link once: a daemon doesn't forward an update that it
+ * has already applied.
  */
 import type { ConfigurationEvent, ServersChangedEvent, ServersListedEvent } from '../events.js';
 import type { Child } from '../tree/tree-state.js';
@@ -17,7 +18,7 @@
 import type { RouterContext } from '../router-context.js';
 import * as directory from '../server-directory.js';
 
-/** A whole list or configuration is not sent to a child again within this time: the last one may be on its way. */
+/** A full list or configuration isn't sent to a child again within this time: the last one may still be in transit. */
 const WHOLE_REPEAT: Milliseconds = 1_000;
 
 function spread(context: RouterContext, message: PeerMessage, source: NewsSource): void {
@@ -27,7 +28,7 @@
   }
 }
 
-/** A configuration was read or heard of. */
+/** Applies a configuration from the store or from another daemon, and broadcasts it if it is new. */
 export function takeConfiguration(
   context: RouterContext,
   event: ConfigurationEvent,
@@ -55,7 +56,7 @@
   }
 }
 
-/** All servers were listed by the store. */
+/** Applies a full list of servers from the store. */
 export function takeServerList(context: RouterContext, event: ServersListedEvent): void {
   takeWholeList(context, event, 'store');
 }
@@ -67,7 +68,7 @@
   }
 }
 
-/** The store told of changes. */
+/** Applies changes of servers from the store. */
 export function takeServerChanges(context: RouterContext, event: ServersChangedEvent): void {
   applyChanges(context, event.changes, event.revision, 'store');
 }
@@ -84,7 +85,7 @@
   }
 }
 
-/** Another daemon told of changes. */
+/** Handles another daemon's message with changes of servers. */
 export function receiveServerNews(context: RouterContext, news: ServerNews, source: NewsSource): void {
   const position = context.state.serversRevision ?? 0;
   if (news.revision <= position) {
@@ -96,12 +97,12 @@
   } else if (news.base <= position) {
     applyChanges(context, news.changes, news.revision, source);
   } else {
-    // Something before these was missed: the next report says so to the parent.
+    // Earlier changes were missed. The report shows the parent this daemon's position, and the parent sends them.
     hastenReport(context);
   }
 }
 
-/** Another daemon told of a configuration. */
+/** Handles another daemon's message with a configuration. */
 export function receiveConfigurationNews(
   context: RouterContext,
   { configuration, revision }: ConfigurationNews,
@@ -131,7 +132,7 @@
   return wholeList(context, serversRevision);
 }
 
-/** Tells a child what it lacks, by its report. */
+/** Sends a child the updates that it lacks according to its report. */
 export function catchUp(context: RouterContext, link: number, child: Child, report: Report): void {
   const { configuration, configurationRevision } = context.state;
   const servers = serversFor(context, child, report.serversPosition);
--- a/src/router/news/store-following.ts
+++ b/src/router/news/store-following.ts
@@ -1,7 +1,7 @@
 /**
- * Decides whether this daemon follows the store itself. The leader does, and a few of its children, so that no loss of
- * one of them stops the news; everybody else only while its parent has no news. Calls to the store are paid for, and
- * their number must not grow with the number of daemons.
+ * Decides whether this daemon watches the store itself. The leader does, and a few of its children, so that losing one of
+ * them doesn't stop the updates; other daemons do so only while their parent sends no current data. Calls to the store are
+ * billed, and their number must not grow with the number of daemons.
  */
 import type { Milliseconds } from '../model/identifiers.js';
 import type { RouterContext } from '../router-context.js';
@@ -11,14 +11,14 @@
 import { newsAge } from './news-age.js';
 import { newsPatience } from './news-timing.js';
 
-/** A daemon that has just started looks for a leader this long, before it reads everything itself. */
+/** A daemon that has just started looks for a leader this long before it reads everything from the store. */
 const START_PATIENCE: Milliseconds = 250;
-/** A parent sends all that it knows within this time; on slow machines a link takes 0.3 s to be up. */
+/** A parent sends all data within this time. On slow machines a link takes 0.3 s to be established. */
 const FIRST_NEWS_PATIENCE: Milliseconds = 700;
 
 /**
- * A daemon that has lost its parent reads evacuations after this long only: the next leader tells sooner as a rule, and the
- * deployment allows seconds. Saves calls to the store.
+ * A daemon that has lost its parent reads evacuations from the store only after this long, which saves calls: the next
+ * leader usually sends them sooner, and the deployment allows seconds.
  */
 const EVACUATION_PATIENCE: Milliseconds = 1_500;
 
@@ -34,7 +34,7 @@
   }
   if (lacksNews(state)) {
     if (identity.isFirstStart !== true) {
-      // Callers wait, perhaps at all daemons, and then no parent has anything to tell yet.
+      // Callers are waiting. If all daemons have restarted, no parent has data to send yet.
       return true;
     }
     const isConnecting = tree.parent !== null && election.leaderRefused === 0;
@@ -45,11 +45,15 @@
   if (now - tree.parentHeardAt > HEARTBEAT_PATIENCE || tree.watchers.includes(identity.daemon)) {
     return true;
   }
-  // The leader and its watchers may be heard, and have had no word of the store: the others found out 4 s later.
+  // The leader and its watchers may send heartbeats while the store doesn't answer them. Without this check the other
+  // daemons found out 4 s later.
   return newsAge(context) > newsPatience(state.bounds, isRelayed(state.tree, state.election.leader?.address));
 }
 
-/** Who follows the store for longer than a moment reads evacuations there, too; everybody else is told by heartbeats. */
+/**
+ * Whether this daemon reads evacuations from the store. Daemons that watch the store for longer than a moment do; the others
+ * receive evacuations with heartbeats.
+ */
 function shouldFollowEvacuations({ state, now }: RouterContext): boolean {
   const { followsStore, followsStoreSince, leadership, tree, identity, bounds } = state;
   if (!followsStore || bounds.evacuation === null) {
@@ -69,7 +73,7 @@
   }
 }
 
-/** Begins or ceases to follow the store. */
+/** Starts or stops watching the store. */
 export function tickStoreFollowing(context: RouterContext): void {
   tickServerFollowing(context);
   tickEvacuationFollowing(context);
--- a/src/router/news/take-evacuations.ts
+++ b/src/router/news/take-evacuations.ts
@@ -1,16 +1,16 @@
-/** Takes in which zones are evacuated, from the store or from other daemons, and what follows from it here. */
+/** Applies changes of the evacuated zones, from the store or from other daemons. */
 import type { EvacuationsChangedEvent, EvacuationsListedEvent } from '../events.js';
 import type { RouterContext } from '../router-context.js';
 import { hastenHeartbeat } from '../tree/heartbeats.js';
 import { hastenReport } from '../tree/reports.js';
 import type { EvacuationStatement } from './zone-evacuations.js';
 
-/** The store listed every evacuated zone. */
+/** Applies a full list of evacuated zones from the store. */
 export function takeEvacuationList(context: RouterContext, event: EvacuationsListedEvent): void {
   takeEvacuations(context, event);
 }
 
-/** The store told of changes. */
+/** Applies changes of evacuated zones from the store. */
 export function takeEvacuationChanges(context: RouterContext, event: EvacuationsChangedEvent): void {
   const zones = new Set(context.state.evacuations.statement().zones);
   for (const { zone, evacuated } of event.changes) {
@@ -24,8 +24,8 @@
 }
 
 /**
- * Servers of a zone that comes back may have turned cold shortly before, and their entries say so only with the next
- * heartbeat: they are taken for cold.
+ * Treats the servers of a restored zone as cold: they may have become cold shortly before, and their entries show that only
+ * with the next heartbeat.
  */
 function expectColdServers({ state, now }: RouterContext, zone: string): void {
   for (const known of state.servers.values()) {
@@ -36,7 +36,7 @@
   }
 }
 
-/** A statement came, from the store or from another daemon. One that is not newer changes nothing. */
+/** Applies a statement from the store or from another daemon, unless it isn't newer than the last one. */
 export function takeEvacuations(context: RouterContext, statement: EvacuationStatement | null): void {
   const { state, now } = context;
   const change = statement === null ? null : state.evacuations.put(statement, now);
--- a/src/router/news/zone-evacuations.ts
+++ b/src/router/news/zone-evacuations.ts
@@ -1,65 +1,65 @@
 /**
- * Zones that operators evacuate: their servers are to get nothing. The whole set is small, so it travels as it is with
- * every heartbeat and report, and whoever knows the store's later state passes that on. No daemon can miss a change
- * for longer than it is without a parent.
+ * Zones that operators have evacuated: their servers must not be sent anything. The set is small, so every heartbeat and report
+ * carries all of it, and each daemon forwards the one with the newest revision. A daemon can miss a change only while it
+ * has no parent.
  */
 import type { Milliseconds } from '../model/identifiers.js';
 
-/** Every evacuated zone, as the store had them at a revision. */
+/** All evacuated zones at a revision of the store. */
 export interface EvacuationStatement {
-  /** Of the store; 0: nothing is known. */
+  /** The revision of the store; 0 before anything is known. */
   readonly revision: number;
   readonly zones: readonly string[];
 }
 
-/** What a newer statement changes. */
+/** The zones that a newer statement evacuates and restores. */
 export interface EvacuationChange {
   readonly evacuated: readonly string[];
   readonly restored: readonly string[];
 }
 
-/** What one daemon knows. */
+/** The evacuated zones known to this daemon. */
 export class ZoneEvacuations {
   #revision = 0;
-  /** When this daemon learned that the zone is evacuated. */
-  readonly #since = new Map<string, Milliseconds>();
+  /** When this daemon learned of the evacuation of each zone. */
+  readonly #learnedAt = new Map<string, Milliseconds>();
 
-  /** Of the store: all changes up to here are known; 0 before anything is. */
+  /** The revision of the store up to which all changes are known; 0 before anything is known. */
   get revision(): number {
     return this.#revision;
   }
 
   /** Whether any zone is evacuated. */
   get isEmpty(): boolean {
-    return this.#since.size === 0;
+    return this.#learnedAt.size === 0;
   }
 
-  /** Whether the servers of a zone are to get nothing. */
+  /** Whether a zone is evacuated. */
   has(zone: string): boolean {
-    return this.#since.has(zone);
+    return this.#learnedAt.has(zone);
   }
 
-  /** How long it has been known that a zone is evacuated, or null when it is not. */
+  /** Returns for how long this daemon has known that a zone is evacuated, or null when it is not. */
   age(zone: string, now: Milliseconds): Milliseconds | null {
-    const since = this.#since.get(zone);
-    return since === undefined ? null : now - since;
+    const learnedAt = this.#learnedAt.get(zone);
+    return learnedAt === undefined ? null : now - learnedAt;
   }
 
-  /** What is told to other daemons. */
+  /** Returns the statement that is sent to other daemons. */
   statement(): EvacuationStatement {
-    return { revision: this.#revision, zones: [...this.#since.keys()] };
+    return { revision: this.#revision, zones: [...this.#learnedAt.keys()] };
   }
 
-  /** Takes a statement in. Returns what it changes; null when it is not newer or changes nothing. */
+  /** Applies a statement. Returns the changes, or null when the statement isn't newer or changes nothing. */
   put({ revision, zones }: EvacuationStatement, now: Milliseconds): EvacuationChange | null {
     if (revision <= this.#revision) {
       return null;
     }
     this.#revision = revision;
-    const evacuated = zones.filter((zone) => !this.#since.has(zone));
-    const restored = [...this.#since.keys()].filter((zone) => !zones.includes(zone));
-    evacuated.forEach((zone) => this.#since.set(zone, now));
-    restored.forEach((zone) => this.#since.delete(zone));
+    const evacuated = zones.filter((zone) => !this.#learnedAt.has(zone));
+    const restored = [...this.#learnedAt.keys()].filter((zone) => !zones.includes(zone));
+    evacuated.forEach((zone) => this.#learnedAt.set(zone, now));
+    restored.forEach((zone) => this.#learnedAt.delete(zone));
     return evacuated.length + restored.length === 0 ? null : { evacuated, restored };
   }
 }
--- a/src/router/notices/known-notices.ts
+++ b/src/router/notices/known-notices.ts
@@ -1,11 +1,11 @@
-/** What a daemon tells another one to which it has just connected: what servers have said or shown of themselves so far. */
+/** What a daemon sends to a newly connected daemon about servers: crashes, draining servers and limits known so far. */
 import { describeLimits } from '../limits/limit-news.js';
 import type { PeerMessage } from '../peers/messages.js';
 import { describeCrashes } from '../quarantine/quarantine.js';
 import type { RouterContext } from '../router-context.js';
 import { describeLeaving } from './leaving-news.js';
 
-/** One message for each kind of which there is something to tell. */
+/** Returns one message for each kind of notice of which any is known. */
 export function describeNotices(context: RouterContext): PeerMessage[] {
   const messages = [describeCrashes(context), describeLeaving(context), describeLimits(context)];
   return messages.filter((message) => message !== null);
--- a/src/router/notices/leaving-news.ts
+++ b/src/router/notices/leaving-news.ts
@@ -1,19 +1,23 @@
 /**
- * Tells all daemons that a server leaves as soon as one of them has had an answer that says so. The store may be away, and its list
- * late by as long; the leader can move keys only if it knows, and a daemon that was started anew knows nothing by itself.
+ * Propagates to all daemons that a server is draining, as soon as one of them has received a response that says so. While the
+ * store is unavailable its list of servers is out of date; the leader moves keys only off servers that it knows to be
+ * draining, and a restarted daemon has no such knowledge of its own.
  */
 import type { ServerId } from '../model/identifiers.js';
 import type { LeavingNews, NewsSource } from '../peers/messages.js';
 import type { RouterContext } from '../router-context.js';
 import type { LeavingServer } from './leaving-servers.js';
 
-/** An answer to this daemon said that a server leaves: while the store is away, its entry can't, and it would go on getting requests. */
+/**
+ * Records a response that said that its server is draining. While the store is unavailable the server's entry can't say so,
+ * and the server would still be sent requests.
+ */
 export function noteLeavingAnswer(context: RouterContext, server: ServerId): void {
   context.state.counters.leaving_answers += 1;
   takeLeaving(context, [{ server, age: 0 }], 'answer');
 }
 
-/** Another daemon told of servers that leave. */
+/** Handles another daemon's message about draining servers. */
 export function receiveLeavingNews(
   context: RouterContext,
   { servers }: LeavingNews,
@@ -22,7 +26,7 @@
   takeLeaving(context, servers, source);
 }
 
-/** All that is known, for a daemon that has just connected or a parent that was just found; null: nothing. */
+/** Returns all draining servers, for a daemon that has just connected or a new parent; null when there are none. */
 export function describeLeaving({ state, now }: RouterContext): LeavingNews | null {
   const servers = state.leaving.statement(now);
   return servers.length === 0 ? null : { kind: 'leavingNews', servers };
@@ -33,23 +37,23 @@
   servers: readonly LeavingServer[],
   source: NewsSource | 'answer',
 ): void {
-  const isNews = servers.filter((leaving) => takeOne(context, leaving, source));
-  if (isNews.length === 0) {
+  const changed = servers.filter((draining) => takeOne(context, draining, source));
+  if (changed.length === 0) {
     return;
   }
-  const message: LeavingNews = { kind: 'leavingNews', servers: isNews };
+  const message: LeavingNews = { kind: 'leavingNews', servers: changed };
   context.emit({ kind: 'sendToChildren', link: null, message });
   if (source !== 'parent') {
     context.emit({ kind: 'sendToParent', message });
   }
   const { leadership } = context.state;
   if (leadership !== null) {
-    // Their keys move on while the server still takes requests for them.
+    // The leader plans at once, so that keys move while the draining server still accepts requests for them.
     leadership.nextPlanAt = Math.min(leadership.nextPlanAt, context.now);
   }
 }
 
-/** Whether others should hear of it. */
+/** Merges one draining server. Returns whether the change should be propagated. */
 function takeOne(
   context: RouterContext,
   { server, age }: LeavingServer,
@@ -58,7 +62,7 @@
   const { state, now } = context;
   const at = now - age;
   const isFirst = state.leaving.since(server) === null;
-  const isNews = state.leaving.note(server, at);
+  const isNew = state.leaving.note(server, at);
   const known = state.servers.get(server);
   if (known !== undefined) {
     known.drainingSince = Math.min(known.drainingSince ?? at, at);
@@ -67,5 +71,5 @@
     const { service = null, address = null } = known?.server ?? {};
     context.log('server_says_leaving', { server, service, address, source, age: Math.round(age) });
   }
-  return isNews;
+  return isNew;
 }
--- a/src/router/notices/leaving-servers.ts
+++ b/src/router/notices/leaving-servers.ts
@@ -1,32 +1,35 @@
 /**
- * Since when servers leave, as their answers said it: at this daemon or at another one. The earliest moment counts, and nothing takes it
- * back: not an entry or a list that is older than the answer, nor an answer that doesn't say so. Only another life of the server is
- * not bound by it.
+ * Since when servers have been draining, as responses to this daemon or to another one have said. The earliest time counts
+ * and is never revoked: not by an entry or a list that is older than the response, nor by a response that doesn't
+ * say so. Only another incarnation of the server is not affected.
  */
 import type { Milliseconds, ServerId } from '../model/identifiers.js';
 
-/** With about 60 bytes each, a daemon that joins is sent 30 KB at most. */
+/** Maximum number of servers kept. At about 60 bytes each, a daemon that joins receives at most 30 KB. */
 const MOST_SERVERS = 512;
-/** Moments that differ by less are one: daemons hear of the same answer by ways that take different times. */
+/**
+ * A time that is earlier by no more than this is not propagated: the same response is reported to daemons over paths of
+ * different delay.
+ */
 const SAME_MOMENT: Milliseconds = 250;
 
-/** A server that leaves, as daemons tell each other. */
+/** A draining server, as daemons report it to each other. */
 export interface LeavingServer {
   readonly server: ServerId;
-  /** How long ago an answer first said so. */
+  /** How long ago a response first said that the server is draining. */
   readonly age: Milliseconds;
 }
 
-/** The servers that a daemon knows to leave by answers. */
+/** The servers that a daemon knows from responses to be draining. */
 export class LeavingServers {
   readonly #since = new Map<ServerId, Milliseconds>();
 
-  /** When an answer first said that a server leaves, or null. */
+  /** Returns when a response first said that a server is draining, or null. */
   since(server: ServerId): Milliseconds | null {
     return this.#since.get(server) ?? null;
   }
 
-  /** Takes a moment in. Returns whether others should hear of it. */
+  /** Records the time of a response that said that a server is draining. Returns whether to propagate it. */
   note(server: ServerId, at: Milliseconds): boolean {
     const before = this.#since.get(server) ?? Number.POSITIVE_INFINITY;
     if (at >= before) {
@@ -40,7 +43,7 @@
     return at < before - SAME_MOMENT;
   }
 
-  /** All of them, for a daemon that knows none. */
+  /** Returns all draining servers, for a daemon that knows none. */
   statement(now: Milliseconds): LeavingServer[] {
     return [...this.#since].map(([server, at]) => ({ server, age: Math.max(0, Math.round(now - at)) }));
   }
--- a/src/router/notices/rest-reports.ts
+++ b/src/router/notices/rest-reports.ts
@@ -1,57 +1,60 @@
 /**
- * What the leader hears of owners that ask for rest. A server owes rest to each daemon by itself; one that asks several is too busy, or
- * ill, and its keys had better go elsewhere meanwhile.
+ * The leader's record of back-offs that owners of keys have asked for. Each daemon keeps a server's back-off by itself; a
+ * server that asks several daemons is overloaded or faulty, and its keys are better served by other servers meanwhile.
  */
 import type { DaemonName, Milliseconds, ServerId } from '../model/identifiers.js';
 
-/** A rest that a server asked a daemon for. */
+/** A back-off that a server asked a daemon for. */
 export interface RestReport {
   readonly server: ServerId;
   readonly daemon: DaemonName;
-  /** Of the rest, when this was sent. */
+  /** The remaining time of the back-off when the report was sent. */
   readonly left: Milliseconds;
 }
 
-/** Keys move off a server that so many daemons owe rest at once: one alone may have sent it too much. */
+/** Keys move off a server that has asked this many daemons to back off: a single daemon may have sent it too much. */
 const ENOUGH_DAEMONS = 2;
-/** Keys don't move for a rest that is shorter: a move takes about 200 ms from the first word to the grant. */
+/** Keys don't move for a shorter back-off: a move takes about 200 ms from the first message to the grant. */
 export const SHORTEST_MOVED_REST: Milliseconds = 1_000;
-/** After its rest a server gets no further keys for so many times its length: one that goes on rejecting asks anew with each request. */
+/**
+ * After its back-off a server is given no keys for this many times the length of the back-off: a server that still rejects
+ * requests asks for another back-off with each of them.
+ */
 const COOLING_FACTOR = 1;
 
-/** Of all daemons and servers. */
+/** The back-off reports of all daemons, by server. */
 export class RestReports {
-  /** Until when each daemon's word counts. */
-  readonly #rests = new Map<ServerId, Map<DaemonName, Milliseconds>>();
+  /** When each daemon's report expires. */
+  readonly #expiryTimes = new Map<ServerId, Map<DaemonName, Milliseconds>>();
 
-  /** Takes a report in. */
+  /** Adds a report, unless its back-off is too short to move keys. */
   add({ server, daemon, left }: RestReport, now: Milliseconds): void {
     if (left < SHORTEST_MOVED_REST) {
       return;
     }
-    const ofServer = this.#rests.get(server) ?? new Map<DaemonName, Milliseconds>();
-    ofServer.set(daemon, now + left * (1 + COOLING_FACTOR));
-    this.#rests.set(server, ofServer);
+    const serverReports = this.#expiryTimes.get(server) ?? new Map<DaemonName, Milliseconds>();
+    serverReports.set(daemon, now + left * (1 + COOLING_FACTOR));
+    this.#expiryTimes.set(server, serverReports);
   }
 
   /**
-   * Whether a server should own no keys now.
+   * Whether a server should own no keys now, because enough daemons are in back-off from it.
    *
-   * @param daemons how many there are
+   * @param daemons the number of daemons
    */
   isResting(server: ServerId, daemons: number, now: Milliseconds): boolean {
-    const ofServer = this.#rests.get(server);
-    if (ofServer === undefined) {
+    const serverReports = this.#expiryTimes.get(server);
+    if (serverReports === undefined) {
       return false;
     }
-    for (const [daemon, until] of ofServer) {
+    for (const [daemon, until] of serverReports) {
       if (now >= until) {
-        ofServer.delete(daemon);
+        serverReports.delete(daemon);
       }
     }
-    if (ofServer.size === 0) {
-      this.#rests.delete(server);
+    if (serverReports.size === 0) {
+      this.#expiryTimes.delete(server);
     }
-    return ofServer.size >= Math.min(ENOUGH_DAEMONS, daemons);
+    return serverReports.size >= Math.min(ENOUGH_DAEMONS, daemons);
   }
 }
--- a/src/router/notices/server-notices.ts
+++ b/src/router/notices/server-notices.ts
@@ -1,4 +1,4 @@
-/** Takes in what servers say of themselves in answers. */
+/** Handles the notices about themselves that servers attach to responses. */
 import type { ServerNoticedEvent } from '../events.js';
 import type { Milliseconds } from '../model/identifiers.js';
 import type { RestReading } from '../model/server-notice.js';
@@ -8,10 +8,10 @@
 import { noteLeavingAnswer } from './leaving-news.js';
 import { SHORTEST_MOVED_REST } from './rest-reports.js';
 
-/** Characters of a value that cannot be read that are logged. */
+/** Maximum number of characters of an unreadable value in the log. */
 const LONGEST_QUOTE = 60;
 
-/** An answer of a server said that it leaves, or that it wants rest. */
+/** Handles a response whose server says that it is draining or asks for a back-off. */
 export function receiveServerNotice(context: RouterContext, { server, notice }: ServerNoticedEvent): void {
   if (notice.leaving) {
     noteLeavingAnswer(context, server);
@@ -55,7 +55,7 @@
   }
 }
 
-/** Requests whose connection has not come up yet would arrive in the rest, in whatever number they wait. */
+/** Withdraws requests whose connection isn't established yet: all of them would reach the server during its back-off. */
 function withdrawFrom(context: RouterContext, { load }: KnownServer): void {
   for (const requestId of load.inFlight.keys()) {
     const attempt = context.state.requests.get(requestId)?.attemptNumber;
--- a/src/router/notices/server-rest.ts
+++ b/src/router/notices/server-rest.ts
@@ -1,15 +1,16 @@
 /**
- * The rest that a server has asked this daemon for: it gets no request before the rest ends, and one at a time from then on until it has
- * answered one: of several that are sent at its end, those after the first that is rejected would come within the next rest.
+ * The back-off that a server has asked this daemon for. The server is sent no request before the back-off ends, and one at a
+ * time from then on until it has answered one: if several were sent at the end and the first were rejected, the
+ * others would arrive during the next back-off.
  */
 import type { Milliseconds } from '../model/identifiers.js';
 
-/** One server's rest, as this daemon owes it. */
+/** The back-off of one server at this daemon. */
 export class ServerRest {
   #until: Milliseconds = Number.NEGATIVE_INFINITY;
   #isRecovering = false;
 
-  /** The server asks for rest from now on. A shorter time never cuts a longer one short. Returns whether a rest begins. */
+  /** Starts or extends the back-off. A shorter request never shortens it. Returns whether a back-off begins. */
   ask(length: Milliseconds, now: Milliseconds): boolean {
     const begins = this.left(now) === 0;
     this.#until = Math.max(this.#until, now + length);
@@ -17,17 +18,17 @@
     return begins;
   }
 
-  /** How much of it is left. */
+  /** Returns the remaining time of the back-off, or 0. */
   left(now: Milliseconds): Milliseconds {
     return Math.max(0, this.#until - now);
   }
 
-  /** Whether one more request may go there while so many are there. */
+  /** Whether one more request may be sent to the server. */
   allows(inFlight: number, now: Milliseconds): boolean {
     return now >= this.#until && (!this.#isRecovering || inFlight === 0);
   }
 
-  /** The server answered a request that was sent at some time: it takes them again, if that was after the rest. */
+  /** Records an answer. The server is sent requests without limit again if this one was sent after the back-off. */
   noteAnswered(sentAt: Milliseconds): void {
     if (sentAt >= this.#until) {
       this.#isRecovering = false;
