--- a/test/router/news/test-changes-in-force.ts
+++ b/test/router/news/test-changes-in-force.ts
@@ -1,39 +1,36 @@
 /**
- * Symptom: changes of the configuration that the store had acknowledged were in force on no daemon at all, for up to 14 s;
- * requests went on being answered under an older version, and no line of any log said that anything was amiss.
+ * Guards against daemons that serve an old configuration after an outage of the store. The store had acknowledged changes
+ * that were in force on no daemon for up to 14 s, and no log line showed it.
  *
- * Sequence: the store answered nobody for 8.6 s. Meanwhile most daemons were killed and started again; the leader's
- * successor and its two watchers, still in their first life, had begun to follow the store during the outage. When the store was back,
- * the daemons that had started again listed anew, joined the leader and ceased to follow the store. Only the
- * leader and its two watchers followed it from then on.
+ * The store never answers a call that it receives during an outage, and the connection stays open. The store was unavailable
+ * for 8.6 s while most daemons were killed and restarted. The next leader and its two watchers, which had not been
+ * restarted, began their watches during the outage; the restarted daemons listed after it, joined the leader and stopped
+ * watching the store. From then on only the leader and its two watchers watched it, with watches that were never answered.
  *
- * Cause: a store never answers a call that came to it while it was away, and the connection stays open. The leader and its watchers
- * had each begun a watch then, and waited for it for 21 s: nothing bounded how old their news could be. The writes that
- * confirm the leadership were answered all the while, so that the leader went on telling others that all was well.
- *
- * Settled by: `feed_lost {"feed":"configuration","call":"watch","waited":21001,"reason":"... timeout"}` at the leader and a watcher, 21 s after
- * their `store_following`, while a watch from before the outage, at one daemon, was answered after it.
+ * Each of them waited 21 s for its watch (`feed_lost` with `"call":"watch","waited":21001`, 21 s after `store_following`),
+ * because nothing bounded the age of their data. A watch that had begun before the outage was answered after it. The
+ * writes that confirm the leadership were answered meanwhile, so the leader kept reporting that its data was current.
  */
 import { expect } from 'earl';
 import { describe, it } from 'node:test';
 import { CONFIGURATION, RouterWorld, type Daemon } from '../support/router-world.js';
 
-/** A change is in force within this time of its acknowledgement. */
+/** A change is in force within this time after its acknowledgement. */
 const APPLY = 2_000;
-/** And an evacuation within this one. */
+/** An evacuation is in force within this time after its acknowledgement. */
 const EVACUATE = 5_000;
-/** After trouble with the store or with connections, that holds again from this long after its end. */
+/** Both bounds hold again from this long after the end of a fault of the store or of connections. */
 const CONTACT = 3_000;
-/** Daemons have found their places by then. */
+/** By then daemons have joined the propagation tree. */
 const SETTLED = 8_000;
-/** Long enough that daemons ask the store for themselves, since their leader has not been confirmed for so long. */
+/** Long enough that daemons watch the store themselves, because their leader has not been confirmed for too long. */
 const OUTAGE = 8_600;
-/** When in an outage daemons are killed: it decides who follows the store after it. */
+/** When daemons are killed during an outage, which decides which daemons watch the store after it. */
 const KILL_TIMES = [300, 1_500, 3_400];
 const LATE_KILL = 3_400;
 const RESTART_AFTER = 500;
 
-/** Changes news of every kind: the configuration, a server's entry, the evacuated zones. */
+/** Changes data of every feed: the configuration, a server's entry and the evacuated zones. */
 function changeEverything(world: RouterWorld, version: number): void {
   world.configure({ ...CONFIGURATION, version });
   world.resize('s1', version);
@@ -49,7 +46,7 @@
   return missing.filter((feed) => feed !== null);
 }
 
-/** Daemons that are alive and don't know of a change, with the kinds of news that they lack. */
+/** Returns the running daemons that lack a change, with the feeds in which they lack it. */
 function behind(world: RouterWorld, version: number): string[] {
   return world.daemons
     .filter(({ alive }) => alive)
@@ -62,7 +59,7 @@
   return world;
 }
 
-/** The store is away; some daemons are killed meanwhile and start again half a second later. */
+/** Makes the store unavailable; meanwhile some daemons are killed and restarted half a second later. */
 function outage(world: RouterWorld, killed: readonly Daemon[], killedAfter = LATE_KILL): void {
   const from = world.clock.now;
   world.store.downUntil = from + OUTAGE;
@@ -81,7 +78,7 @@
   return leader;
 }
 
-/** The leader, and the daemons that follow the store beside it. */
+/** Returns the leader and the other daemons that watch the store. */
 function followers(world: RouterWorld): Daemon[] {
   return world.daemons.filter(({ alive, state }) => alive && state.followsStore);
 }
@@ -91,7 +88,7 @@
   return numbers.flatMap((seed) => KILL_TIMES.map((time): [number, number] => [seed, time]));
 }
 
-/** One change as soon as the store is back, and one each two seconds. */
+/** Makes one change as soon as the store is back, then one every two seconds, and checks that each is in force in time. */
 function expectChangesInForce(world: RouterWorld): void {
   changeEverything(world, 2);
   world.clock.runUntil(world.clock.now + CONTACT);
@@ -104,7 +101,7 @@
 }
 
 describe('a change in the store', () => {
-  it('is in force in time after an outage in which all who followed the store were killed', () => {
+  it('is in force in time after an outage in which all daemons that watched the store were killed', () => {
     for (const [seed, killedAfter] of cases(5)) {
       const world = settledWorld(seed);
       outage(world, followers(world), killedAfter);
@@ -122,7 +119,7 @@
     }
   });
 
-  it('is in force in time when the connections on which all watches wait go silent', () => {
+  it('is in force in time when the connections of all watches stop responding', () => {
     for (let seed = 1; seed <= 6; seed += 1) {
       const world = settledWorld(seed);
       world.silenceWatches();
@@ -147,7 +144,7 @@
     }
   });
 
-  it('is in force in time when it was made while watches heard nothing, and the history is gone', () => {
+  it('is in force in time when it was made while watches reported nothing and the history is compacted afterwards', () => {
     for (let seed = 1; seed <= 6; seed += 1) {
       const world = settledWorld(seed);
       [world.configurations, world.serverEntries, world.evacuations].forEach((feed) =>
@@ -160,7 +157,7 @@
     }
   });
 
-  it('reaches the daemons that the store serves when it turns the leader and its watchers away', () => {
+  it('reaches the daemons that the store serves when it refuses the leader and its watchers', () => {
     for (let seed = 1; seed <= 6; seed += 1) {
       const world = settledWorld(seed);
       followers(world).forEach((daemon) => (daemon.storeReachable = false));
@@ -175,7 +172,7 @@
     }
   });
 
-  it('costs few calls: the store is asked by as few daemons as ever', () => {
+  it('costs few calls, because only the leader and two other daemons watch the store', () => {
     const world = settledWorld(1);
     const calls = (): number =>
       [world.configurations, world.serverEntries].reduce(
@@ -185,7 +182,7 @@
     const before = calls();
     world.clock.runUntil(world.clock.now + 10_000);
     expect(followers(world).length).toEqual(3);
-    // Two feeds of three daemons, each a call a second.
+    // Two feeds of three daemons, with one call per second each.
     expect(calls() - before <= 60).toEqual(true);
     expect(leaderOf(world).state.followsStore).toEqual(true);
   });
--- a/test/router/news/test-feed-health.ts
+++ b/test/router/news/test-feed-health.ts
@@ -26,7 +26,7 @@
     state = createRouterState({ daemon: 'd', zone: 'z', peerAddress: '10.0.0.9:1', life: 1 }, BOUNDS, 1);
   });
 
-  it('tells once of a feed that fails, with how long the call was waited for, and counts each failure', () => {
+  it('logs a failing feed once, with how long the call waited, and counts each failure', () => {
     const [line] = linesOf(1_000, FAILURE);
     expect(line).toEqual({
       kind: 'log',
@@ -38,7 +38,7 @@
     expect(state.counters.feed_failures).toEqual(2);
   });
 
-  it('tells when the store answers again, and keeps when it last did', () => {
+  it('logs when the store answers again, and records when it last did', () => {
     expect(linesOf(900, { kind: 'feedAnswered', feed: 'configuration' })).toEqual([]);
     linesOf(1_000, FAILURE);
     expect(state.feeds.configuration.answeredAt).toEqual(900);
@@ -47,7 +47,7 @@
     expect(state.feeds.servers.answeredAt).toEqual(Number.NEGATIVE_INFINITY);
   });
 
-  it('tells from whom a configuration was taken', () => {
+  it('logs the source of a configuration', () => {
     const [line] = linesOf(1_000, { kind: 'configuration', configuration: CONFIGURATION, revision: 7 });
     expect(line?.kind === 'log' && line.fields.source).toEqual('store');
   });
--- a/test/router/news/test-news.ts
+++ b/test/router/news/test-news.ts
@@ -64,7 +64,7 @@
   return state.followsStore;
 }
 
-describe('news from other daemons', () => {
+describe('updates from other daemons', () => {
   beforeEach(() => {
     state = createRouterState(identity, BOUNDS, 1);
     now = 1_000;
@@ -75,7 +75,7 @@
     event({ kind: 'objectRead', object: 'leader', sentAt: now, outcome });
   });
 
-  it('bring a daemon everything, so that it never follows the store', () => {
+  it('bring a daemon all data, so that it never watches the store', () => {
     learnEverything();
     pass(5_000, () => hear(heartbeat()));
     expect([...state.servers.keys()]).toEqual(['s1', 's2']);
@@ -83,7 +83,7 @@
     expect(effects.some(({ kind }) => kind === 'followStore')).toEqual(false);
   });
 
-  it('are asked for when something before them was missed, and change nothing until then', () => {
+  it('change nothing when earlier updates were missed, and the missed ones are requested', () => {
     learnEverything();
     pass(500);
     effects = [];
@@ -93,7 +93,7 @@
     expect(sent('report')[0]?.serversPosition).toEqual(10);
   });
 
-  it('that are old change nothing', () => {
+  it('change nothing when they are old', () => {
     learnEverything();
     hear({ kind: 'serverNews', base: 10, revision: 12, changes: [{ id: 's3', server: server('s3', 11) }] });
     hear({ kind: 'serverNews', base: 0, revision: 9, changes: [] });
@@ -105,7 +105,7 @@
     expect(state.tree.parent).toEqual(LEADER);
   });
 
-  it('go to the children, and up only when they did not come from there', () => {
+  it('are forwarded to the children, and to the parent only when they did not come from it', () => {
     learnEverything();
     effects = [];
     hear({ kind: 'serverNews', base: 10, revision: 12, changes: [{ id: 's1', server: null }] });
@@ -116,7 +116,7 @@
     expect(effects.filter(({ kind }) => kind === 'sendToParent').length).toEqual(1);
   });
 
-  it('bring a child that missed some just those', () => {
+  it('bring a child only those that it missed', () => {
     learnEverything();
     event({ kind: 'serversChanged', changes: [{ id: 's1', server: null }], revision: 15 });
     event({
@@ -153,7 +153,7 @@
     expect(sent('configurationNews').length).toEqual(1);
   });
 
-  it('that do not come let a daemon follow the store itself', () => {
+  it('make a daemon watch the store itself when they are missing', () => {
     pass(600);
     expect(followsStore()).toEqual(false);
     pass(200);
@@ -165,7 +165,7 @@
     expect(followsStore()).toEqual(true);
   });
 
-  it('from a leader that has had no word of the store for 1.6 s are not enough, where 2 s are allowed', () => {
+  it('are not enough from a leader that the store has not answered for 1.6 s, where 2 s are allowed', () => {
     learnEverything();
     const confirmedAt = now;
     pass(1_500, () => hear(heartbeat({ newsAge: now - confirmedAt })));
@@ -182,7 +182,7 @@
     expect(followsStore()).toEqual(false);
   });
 
-  it('are said to be old, once, when nobody has had an answer of the store for too long', () => {
+  it('are logged as old, once, when the store has answered no daemon for too long', () => {
     learnEverything();
     const confirmedAt = now;
     pass(2_500, () => hear(heartbeat({ newsAge: now - confirmedAt })));
@@ -191,14 +191,14 @@
     expect(lines.filter((line) => line.startsWith('news_'))).toEqual(['news_old', 'news_fresh']);
   });
 
-  it('are looked for in the store by the watchers that the leader names', () => {
+  it('are read from the store by the watchers that the leader names', () => {
     learnEverything();
     hear(heartbeat({ watchers: ['d'] }));
     pass(40);
     expect(followsStore()).toEqual(true);
   });
 
-  it('come by the relay that the leader names, and by the leader again when the relay falls silent', () => {
+  it('come from the relay that the leader names, and from the leader again when the relay is unresponsive', () => {
     learnEverything();
     hear({ kind: 'redirect', address: RELAY });
     expect(state.tree.parent).toEqual(RELAY);
@@ -209,14 +209,14 @@
     expect(state.tree.failedRelay).toEqual(RELAY);
   });
 
-  it('do not come from itself: a redirect to its own address is passed over', () => {
+  it('never come from the daemon itself: a redirect to its own address is ignored', () => {
     learnEverything();
     hear({ kind: 'redirect', address: '10.0.0.9:1' });
     expect(state.tree.parent).toEqual(LEADER);
   });
 
-  // Found by a played day: after the loss of all daemons each waited 0.7 s for a parent that knew nothing either.
-  it('are not waited for by a daemon that starts again, since callers wait', () => {
+  // After the loss of all daemons, each would otherwise wait 0.7 s for a parent that has no data either.
+  it('are not waited for by a restarted daemon, because callers are waiting', () => {
     state = createRouterState({ ...identity, isFirstStart: false }, BOUNDS, 1);
     pass(40);
     expect(followsStore()).toEqual(true);
--- a/test/router/news/test-server-history.ts
+++ b/test/router/news/test-server-history.ts
@@ -4,10 +4,10 @@
 import { ServerHistory } from '../../../src/router/news/server-history.js';
 import type { ServerChange } from '../../../src/router/peers/messages.js';
 
-function change(id: string, revision: number, gone: boolean): ServerChange {
+function change(id: string, revision: number, removed: boolean): ServerChange {
   const place = { service: 'racks', address: '10.0.0.1:80', zone: 'z', slots: 2 };
   const server = { id, ...place, draining: false, warmupLeft: 0, listedAt: 1, revision };
-  return { id, server: gone ? null : server };
+  return { id, server: removed ? null : server };
 }
 
 function apply(servers: Map<string, number>, changes: readonly ServerChange[]): void {
@@ -20,13 +20,13 @@
   }
 }
 
-/** Batches of changes; each entry: which server, and whether it goes. */
+/** Batches of changes: for each change the number of the server, and whether it is removed. */
 const BATCHES = fc.array(fc.array(fc.tuple(fc.nat(5), fc.boolean()), { minLength: 1, maxLength: 4 }), {
   maxLength: 300,
 });
 
 describe('the history of servers', () => {
-  it('brings whoever knows an earlier revision to the same servers as whoever saw every change', () => {
+  it('brings a daemon at an earlier revision to the same servers as a daemon that saw every change', () => {
     fc.assert(
       fc.property(BATCHES, fc.nat(300), (batches, missedAfter) => {
         const history = new ServerHistory();
@@ -35,7 +35,7 @@
         const behind = new Map<string, number>();
         batches.forEach((batch, index) => {
           const revision = index + 2;
-          const changes = batch.map(([id, gone]) => change(`s${id}`, revision, gone));
+          const changes = batch.map(([id, removed]) => change(`s${id}`, revision, removed));
           history.append(revision, changes);
           apply(whole, changes);
           if (index < missedAfter) {
@@ -44,7 +44,7 @@
         });
         const known = 1 + Math.min(missedAfter, batches.length);
         const missed = history.since(known);
-        // Nothing but what is no longer remembered may be missing.
+        // Changes may be missing only when they are no longer kept.
         expect(missed !== null || batches.length - missedAfter > 250).toEqual(true);
         if (missed !== null) {
           apply(behind, missed.changes);
@@ -56,7 +56,7 @@
     );
   });
 
-  it('remembers nothing before the first list', () => {
+  it('holds nothing before the first list', () => {
     expect(new ServerHistory().since(0)).toEqual(null);
   });
 });
--- a/test/router/news/test-zone-evacuations.ts
+++ b/test/router/news/test-zone-evacuations.ts
@@ -3,7 +3,7 @@
 import { ZoneEvacuations } from '../../../src/router/news/zone-evacuations.js';
 import { RouterWorld, type Daemon } from '../support/router-world.js';
 
-/** Long enough for a plan, releases and grants; the deployment of the tests allows 5 s. */
+/** Long enough for a plan, releases and grants. The deployment in the tests allows 5 s. */
 const MOVED_WITHIN = 2_500;
 const SETTLED = 6_000;
 
@@ -20,7 +20,7 @@
   return world.daemons.filter(({ state }) => state.evacuations.has(zone));
 }
 
-describe('what is known of evacuated zones', () => {
+describe('ZoneEvacuations', () => {
   it('does not go back to an older revision', () => {
     const evacuations = new ZoneEvacuations();
     expect(evacuations.put({ revision: 7, zones: ['a'] }, 100)).toEqual({ evacuated: ['a'], restored: [] });
@@ -29,7 +29,7 @@
     expect(evacuations.has('a')).toEqual(true);
   });
 
-  it('counts the time of an evacuation from the first word of it', () => {
+  it('counts the age of an evacuation from the first statement of it', () => {
     const evacuations = new ZoneEvacuations();
     evacuations.put({ revision: 7, zones: ['a'] }, 100);
     expect(evacuations.put({ revision: 9, zones: ['a'] }, 600)).toEqual(null);
@@ -37,7 +37,7 @@
     expect(evacuations.age('b', 1_100)).toEqual(null);
   });
 
-  it('starts anew when a zone is evacuated again', () => {
+  it('restarts the age when a zone is evacuated again', () => {
     const evacuations = new ZoneEvacuations();
     evacuations.put({ revision: 7, zones: ['a'] }, 100);
     expect(evacuations.put({ revision: 8, zones: ['b'] }, 200)).toEqual({
@@ -50,7 +50,7 @@
 });
 
 describe('an evacuated zone', () => {
-  it('is known at every daemon at once, also at those that the store turns away', () => {
+  it('is known to every daemon at once, including those that the store refuses', () => {
     const world = new RouterWorld(1, 6, 9);
     world.clock.runUntil(SETTLED);
     const cut = world.daemons.filter((daemon) => !daemon.state.followsStore);
@@ -63,7 +63,7 @@
     expect(knowers(world, 'z1')).toEqual([]);
   });
 
-  it('loses its units in time, and no key is without an owner for long', () => {
+  it('loses its units in time, and no key stays without an owner', () => {
     for (let seed = 1; seed <= 4; seed += 1) {
       const world = new RouterWorld(seed, 4, 9);
       world.clock.runUntil(SETTLED);
@@ -74,7 +74,7 @@
     }
   });
 
-  it('stays evacuated when the leader is lost, and when all daemons start again', () => {
+  it('stays evacuated when the leader is lost and when all daemons restart', () => {
     const world = new RouterWorld(3, 4, 9);
     world.clock.runUntil(SETTLED);
     world.evacuate(['z2']);
@@ -89,7 +89,7 @@
     expect(ownerZones(world)).toEqual(['z0', 'z1']);
   });
 
-  it('gets units again once it is taken back and the load calls for it', () => {
+  it('is evacuated no longer after it is restored, and no key is without an owner', () => {
     const world = new RouterWorld(2, 3, 6);
     world.clock.runUntil(SETTLED);
     world.evacuate(['z1']);
@@ -100,7 +100,7 @@
     expect(world.unservedKeys()).toEqual([]);
   });
 
-  it('changes nothing when nobody knows the zone', () => {
+  it('changes nothing when the zone is unknown', () => {
     const world = new RouterWorld(4, 3, 6);
     world.clock.runUntil(SETTLED);
     const before = world.leader()?.state.leadership?.table;
@@ -118,7 +118,7 @@
     expect(ownerZones(world)).toEqual(before);
   });
 
-  it('loses its units beside another zone that is lost', () => {
+  it('loses its units while another zone is lost', () => {
     const world = new RouterWorld(6, 3, 9);
     world.clock.runUntil(SETTLED);
     world.servers
--- a/test/router/notices/test-leaving-spread.ts
+++ b/test/router/notices/test-leaving-spread.ts
@@ -1,6 +1,7 @@
 /*
- * A server's word that it leaves reaches the daemon that had the answer first. The others hear it along the tree, the leader among them, so that
- * keys move on before the server stops taking requests for them: the list in the store may say so much later, or never.
+ * A server's notice that it is draining reaches one daemon with a response. The others, the leader among them, learn of it
+ * over the propagation tree, so that keys move before the server stops accepting requests for them: the list in the store
+ * may say so much later, or never.
  */
 import { expect } from 'earl';
 import { describe, it } from 'node:test';
@@ -9,68 +10,68 @@
 import { type Daemon, RouterWorld } from '../support/router-world.js';
 
 const SETTLED = 6_000;
-/** Under a calm leader word passes within this time, in ms. */
+/** Updates reach all daemons within this time, in ms, while the leader stays the same. */
 const SPREAD = 100;
 
 function owns(world: RouterWorld, server: string): boolean {
   return (world.leader()?.state.view.units ?? []).some(({ owner }) => owner === server);
 }
 
-/** A daemon that doesn't lead gets an answer of a server that says that it leaves. */
-function sayLeaving(world: RouterWorld): { daemon: Daemon; server: string; saidAt: number } {
+/** Delivers a response whose server says that it is draining to a daemon that doesn't lead. */
+function sayLeaving(world: RouterWorld): { daemon: Daemon; server: string; noticedAt: number } {
   const daemon = world.daemons.find(({ state }) => state.leadership === null) as Daemon;
   const server = 's2';
   world.deliver(daemon, { kind: 'serverNoticed', server, notice: { leaving: true, rest: null } });
-  return { daemon, server, saidAt: world.clock.now };
+  return { daemon, server, noticedAt: world.clock.now };
 }
 
-describe('the word that a server leaves', () => {
-  it('reaches every daemon, and its keys move on while it still takes requests for them', () => {
+describe('the notice that a server is draining', () => {
+  it('reaches every daemon, and the server loses its keys while it still accepts requests for them', () => {
     const world = new RouterWorld(3, 6, 5);
     world.clock.runUntil(SETTLED);
     expect(owns(world, 's2')).toEqual(true);
-    const { server, saidAt } = sayLeaving(world);
-    world.clock.runUntil(saidAt + SPREAD);
+    const { server, noticedAt } = sayLeaving(world);
+    world.clock.runUntil(noticedAt + SPREAD);
     for (const { state } of world.daemons) {
-      expect((state.servers.get(server)?.drainingSince ?? 0) - saidAt < SPREAD).toEqual(true);
+      expect((state.servers.get(server)?.drainingSince ?? 0) - noticedAt < SPREAD).toEqual(true);
     }
-    world.clock.runUntil(saidAt + BOUNDS.drain / 2);
+    world.clock.runUntil(noticedAt + BOUNDS.drain / 2);
     expect(owns(world, server)).toEqual(false);
     expect(world.unservedKeys()).toEqual([]);
     expect(world.checker.violations).toEqual([]);
   });
 
-  it('holds through an outage of the store, and for the leader that comes after it', () => {
+  it('survives an outage of the store, and holds for the next leader', () => {
     const world = new RouterWorld(4, 6, 5);
     world.clock.runUntil(SETTLED);
     world.daemons.forEach((daemon) => (daemon.storeReachable = false));
-    const { server, saidAt } = sayLeaving(world);
-    world.clock.runUntil(saidAt + 11_000);
+    const { server, noticedAt } = sayLeaving(world);
+    world.clock.runUntil(noticedAt + 11_000);
     world.daemons.forEach((daemon) => (daemon.storeReachable = true));
-    world.clock.runUntil(saidAt + 15_000);
+    world.clock.runUntil(noticedAt + 15_000);
     expect(world.daemons.every(({ state }) => state.leaving.since(server) !== null)).toEqual(true);
     expect(owns(world, server)).toEqual(false);
     expect(world.checker.violations).toEqual([]);
   });
 
-  it('is learned by a daemon that starts anew', () => {
+  it('is learned by a daemon that restarts', () => {
     const world = new RouterWorld(5, 6, 5);
     world.clock.runUntil(SETTLED);
-    const { daemon, server, saidAt } = sayLeaving(world);
-    world.clock.runUntil(saidAt + SPREAD);
+    const { daemon, server, noticedAt } = sayLeaving(world);
+    world.clock.runUntil(noticedAt + SPREAD);
     daemon.alive = false;
-    world.clock.runUntil(saidAt + 500);
+    world.clock.runUntil(noticedAt + 500);
     world.startDaemon(daemon);
-    world.clock.runUntil(saidAt + 4_000);
-    const heard = daemon.state.leaving.since(server);
-    // Each clock runs by itself: what counts is how long ago it was said.
-    const age = daemon.clock.now() - (heard ?? Number.NaN);
-    expect(Math.abs(age - (world.clock.now - saidAt)) < SPREAD).toEqual(true);
+    world.clock.runUntil(noticedAt + 4_000);
+    const learnedAt = daemon.state.leaving.since(server);
+    // Each daemon has its own clock, so the age of the notice is compared.
+    const age = daemon.clock.now() - (learnedAt ?? Number.NaN);
+    expect(Math.abs(age - (world.clock.now - noticedAt)) < SPREAD).toEqual(true);
   });
 });
 
-describe('the table of servers that leave', () => {
-  it('keeps the earliest moment, and calls only a new server or a clearly earlier moment news', () => {
+describe('the table of draining servers', () => {
+  it('keeps the earliest time, and reports a change only for a new server or a clearly earlier time', () => {
     const leaving = new LeavingServers();
     expect(leaving.note('s1', 1_000)).toEqual(true);
     expect(leaving.note('s1', 1_200)).toEqual(false);
--- a/test/router/notices/test-rest-reports.ts
+++ b/test/router/notices/test-rest-reports.ts
@@ -10,8 +10,8 @@
   return (world.leader()?.state.view.units ?? []).some(({ owner }) => owner === server);
 }
 
-describe('owners that ask for rest', () => {
-  it('give their keys up when they ask more daemons than one', () => {
+describe('owners of keys that ask for a back-off', () => {
+  it('lose their keys when they ask more than one daemon', () => {
     const world = new RouterWorld(3, 6, 5);
     world.clock.runUntil(SETTLED);
     const askedAt = world.clock.now;
@@ -24,7 +24,7 @@
     expect(world.checker.violations).toEqual([]);
   });
 
-  it('keep them when they ask one daemon alone, and while no other server is left', () => {
+  it('keep their keys when they ask only one daemon, or when no other server is left', () => {
     const world = new RouterWorld(3, 6, 2);
     world.clock.runUntil(SETTLED);
     const notice = { leaving: false, rest: REST };
@@ -40,7 +40,7 @@
     expect(world.checker.violations).toEqual([]);
   });
 
-  it('count for as long again as their rest, and not for short ones', () => {
+  it('are given no keys for twice the back-off, and are not affected by a short one', () => {
     const reports = new RestReports();
     reports.add({ server: 's1', daemon: 'd1', left: REST }, 0);
     expect(reports.isResting('s1', 5, 10)).toEqual(false);
--- a/test/router/notices/test-rest-world.ts
+++ b/test/router/notices/test-rest-world.ts
@@ -8,24 +8,24 @@
 const SERVERS = 10;
 const RESTING = 3;
 const SETTLED = 6_000;
-/** They reject everything for so long, and ask for this much rest each time. */
+/** The faulty servers reject every request for this long, and ask for a back-off of REST each time. */
 const ILL = 9_000;
-/** Of all requests meanwhile; 0.87 where keys stay with such owners. */
+/** Least share of all requests meanwhile that are answered. It is 0.87 when keys stay with such owners. */
 const LEAST_SERVED = 0.9;
 const REST = 3_000;
 const ON_ITS_WAY = 500;
 const MOST_IN_REST = 2;
-/** Between two requests at each daemon: 150 a second in all. */
+/** Time between two requests at each daemon: 150 per second over all daemons. */
 const INTERVAL = 40;
 
 interface Outcome {
-  /** Share of the requests in that time that were answered. */
+  /** Share of the requests during the fault that were answered. */
   readonly served: number;
-  /** Arrivals in rests beyond those that are allowed. */
+  /** Number of requests that arrived during back-offs, beyond those that are allowed. */
   readonly tooMany: number;
 }
 
-/** A day on which owners of keys reject everything. */
+/** Simulates owners of keys that reject every request for a time. */
 function playRest(seed: number): Outcome {
   const world = new RouterWorld(seed, DAEMONS, SERVERS);
   const traffic = new RequestTraffic(world, 0);
@@ -37,13 +37,13 @@
   world.daemons.forEach((daemon, index) => world.clock.after(2_000 + index * 7, () => ask(daemon)));
   world.clock.runUntil(SETTLED);
   const before = traffic.told.length;
-  const ill = world.servers.slice(0, RESTING);
-  ill.forEach((server) => traffic.resting.set(server, REST));
+  const faulty = world.servers.slice(0, RESTING);
+  faulty.forEach((server) => traffic.resting.set(server, REST));
   world.clock.runUntil(SETTLED + ILL);
   traffic.resting.clear();
   const told = traffic.told.slice(before);
   expect(world.checker.violations).toEqual([]);
-  const ids = new Set(ill.map(({ id }) => id));
+  const ids = new Set(faulty.map(({ id }) => id));
   const sends = traffic.sends.filter(({ server, at }) => ids.has(server) && at >= SETTLED);
   world.clock.runUntil(SETTLED + ILL + 8_000);
   expect(traffic.told.slice(-100).filter(({ status }) => status === 200).length > 95).toEqual(true);
@@ -68,8 +68,8 @@
   return tooMany;
 }
 
-describe('owners of keys that reject everything and ask for rest', () => {
-  it('get no request in it, and their keys are served by others', () => {
+describe('owners of keys that reject every request and ask for a back-off', () => {
+  it('get no request during the back-off, and other servers serve their keys', () => {
     for (let seed = 1; seed <= 4; seed += 1) {
       const { served, tooMany } = playRest(seed);
       expect(tooMany).toEqual(0);
--- a/test/router/quarantine/test-copies-at-one-server.ts
+++ b/test/router/quarantine/test-copies-at-one-server.ts
@@ -1,7 +1,8 @@
 /*
- * A request that ends servers came twelve times a second, so that three to six daemons had a copy of it at the same server when that ended. Daemons
- * counted one end (`server_crashed` for one server, 8.63 s), waited for two more servers (11.99 s and 14.91 s), and began the quarantine within 20 ms of the third: right by
- * servers. By copies three had ended at 8.6 s, and six more were sent later than 3 s after that.
+ * Guards against a request that crashes servers being sent on while it is counted by crashed servers alone. When it is
+ * received twelve times a second, three to six daemons have a copy of it at the same server when that crashes. Daemons
+ * counted one crash (at 8.63 s), waited for two more servers (11.99 s and 14.91 s) and began the quarantine within
+ * 20 ms of the third. Three copies had been lost by 8.6 s, and six more were sent later than 3 s after that.
  */
 import { expect } from 'earl';
 import { describe, it } from 'node:test';
@@ -11,15 +12,15 @@
 const SETTLED = 6_000;
 const NAME = 'deadly';
 const KEY = 7;
-/** Between two tries at one daemon. */
+/** Time between two requests to one daemon. */
 const INTERVAL = 500;
 const LENGTH = 20_000;
 const COPIES = 3;
 const CONTACT = 3_000;
 const MOST_LATER_SENDS = 3;
 
-describe('a request that ends servers while several copies of it are there', () => {
-  it('is sent three times at most once three copies have been lost for as long as daemons need to agree', () => {
+describe('a request that crashes servers while several copies of it are in flight', () => {
+  it('is sent at most three more times once three copies have been lost for the time that daemons need to agree', () => {
     const world = new RouterWorld(11, 6, 8);
     const traffic = new RequestTraffic(world, 0);
     traffic.deadly.add(NAME);
--- a/test/router/quarantine/test-crash-table.ts
+++ b/test/router/quarantine/test-crash-table.ts
@@ -10,11 +10,11 @@
 
 function ends(servers: readonly string[], age = 0, fingerprint = DEADLY): CrashRecord {
   const ended = servers.map((server) => ({ server, age }));
-  const rest = { exonerated: [], quarantined: false, retested: false };
-  return { fingerprint: fingerprint.value, ended, ...rest };
+  const otherFields = { exonerated: [], quarantined: false, retested: false };
+  return { fingerprint: fingerprint.value, ended, ...otherFields };
 }
 
-/** A table in which three servers have ended under a request, one after the other. */
+/** Returns a table in which three servers have crashed under a request, one after the other, and it is quarantined. */
 function quarantined(): CrashTable {
   const table = new CrashTable();
   ['s1', 's2', 's3'].forEach((server, index) => table.merge(ends([server]), index * 3_000));
@@ -22,33 +22,33 @@
   return table;
 }
 
-describe('the table of requests under which servers ended', () => {
-  it('counts an end once, whoever tells it and how often', () => {
+describe('CrashTable', () => {
+  it('counts a crash once, however often it is reported', () => {
     const table = new CrashTable();
     expect(table.merge(ends(['s1']), 0)).not.toEqual(null);
     expect(table.merge(ends(['s1']), 5_000)).toEqual(null);
     expect(table.endsUnder(DEADLY)).toEqual(1);
   });
 
-  it('puts a request into quarantine after three ends', () => {
+  it('quarantines a request after three crashes', () => {
     expect(quarantined().isQuarantined(DEADLY)).toEqual(true);
     expect(quarantined().isQuarantined(fingerprintOf('other'))).toEqual(false);
   });
 
-  it('waits while all ends are of one moment, and for the confirmation', () => {
+  it('does not quarantine for crashes at the same time, or before the confirmation time is over', () => {
     const table = new CrashTable();
     table.merge(ends(['s1', 's2', 's3', 's4']), 0);
     expect(table.confirmSuspicions(CONFIRMATION, 60_000)).toEqual([]);
     table.merge(ends(['s5']), 61_000);
     expect(table.confirmSuspicions(CONFIRMATION, 61_000).length).toEqual(1);
-    const heardLate = new CrashTable();
-    heardLate.merge(ends(['s1'], 9_000), 0);
-    heardLate.merge(ends(['s2', 's3']), 0);
-    expect(heardLate.confirmSuspicions(CONFIRMATION, CONFIRMATION - 1)).toEqual([]);
-    expect(heardLate.confirmSuspicions(CONFIRMATION, CONFIRMATION).length).toEqual(1);
+    const learnedLate = new CrashTable();
+    learnedLate.merge(ends(['s1'], 9_000), 0);
+    learnedLate.merge(ends(['s2', 's3']), 0);
+    expect(learnedLate.confirmSuspicions(CONFIRMATION, CONFIRMATION - 1)).toEqual([]);
+    expect(learnedLate.confirmSuspicions(CONFIRMATION, CONFIRMATION).length).toEqual(1);
   });
 
-  it('takes ends back that an answer disproves, for good', () => {
+  it('permanently discounts the crashes of a request that is cleared', () => {
     const table = quarantined();
     table.clear(DEADLY, 7_000);
     expect(table.isQuarantined(DEADLY)).toEqual(false);
@@ -56,14 +56,14 @@
     expect(table.endsUnder(DEADLY)).toEqual(0);
   });
 
-  it('takes the ends of a server back that answers what was sent to it afterwards', () => {
+  it('discounts the crash of a server that answers a request sent after the crash was reported', () => {
     const table = quarantined();
     expect(table.noteAlive('s2', 2_999, 7_000)).toEqual([]);
     expect(table.noteAlive('s2', 3_001, 7_000).length).toEqual(1);
     expect(table.isQuarantined(DEADLY)).toEqual(false);
   });
 
-  it('forgets the oldest suspicions first, and no quarantine for one', () => {
+  it('removes the oldest suspicions first, and no quarantine to make room for a suspicion', () => {
     const table = quarantined();
     for (let index = 0; index < 2_000; index += 1) {
       table.merge(ends(['s9'], 0, fingerprintOf(`innocent ${index}`)), 8_000 + index);
@@ -74,7 +74,7 @@
     expect(table.endsUnder(fingerprintOf('innocent 1999'))).toEqual(1);
   });
 
-  it('forgets suspicions with time, and no quarantine', () => {
+  it('expires suspicions, but no quarantine', () => {
     const table = quarantined();
     table.merge(ends(['s9'], 0, fingerprintOf('once')), 8_000);
     table.expire(8_000 + 601_000);
@@ -82,14 +82,14 @@
     expect(table.isQuarantined(DEADLY)).toEqual(true);
   });
 
-  it('keeps the span of its ends when more come than it holds', () => {
+  it('keeps the span from the first to the last crash when more crashes are reported than it holds', () => {
     const table = new CrashTable();
     table.merge(ends(['s1', 's2', 's3', 's4', 's5', 's6']), 0);
     table.merge(ends(['s7']), 4_000);
     expect(table.confirmSuspicions(CONFIRMATION, 4_000).length).toEqual(1);
   });
 
-  it('comes to the same whatever the order in which records are told', () => {
+  it('reaches the same crash count in whatever order records are original', () => {
     const servers = fc.array(fc.constantFrom<string>('s1', 's2', 's3', 's4'), { maxLength: 2 });
     const record = fc.record({
       ended: servers,
@@ -97,12 +97,12 @@
     });
     fc.assert(
       fc.property(fc.array(record, { maxLength: 6 }), fc.nat(), (records, seed) => {
-        const told = records.map(({ ended, exonerated }) => ({ ...ends(ended), exonerated }));
-        const shuffled = [...told].sort((left, right) => {
-          const weight = (one: CrashRecord): number => (told.indexOf(one) * 7_919 + seed) % 101;
+        const original = records.map(({ ended, exonerated }) => ({ ...ends(ended), exonerated }));
+        const shuffled = [...original].sort((left, right) => {
+          const weight = (one: CrashRecord): number => (original.indexOf(one) * 7_919 + seed) % 101;
           return weight(left) - weight(right);
         });
-        const counts = [told, shuffled].map((order) => {
+        const counts = [original, shuffled].map((order) => {
           const table = new CrashTable();
           order.forEach((one) => table.merge(one, 0));
           return table.endsUnder(DEADLY);
--- a/test/router/quarantine/test-hot-innocent.ts
+++ b/test/router/quarantine/test-hot-innocent.ts
@@ -6,14 +6,17 @@
 const SETTLED = 6_000;
 const HOT = { name: 'hot', route: SERVICE, key: 7 };
 const COLD = { name: 'cold', route: SERVICE, key: 7 };
-/** Between two tries at one daemon: the key's owner has copies of the request all the time. */
+/** Time between two requests to one daemon: the key's owner has copies of the request in flight all the time. */
 const INTERVAL = 150;
 const CRASHES = 3;
 const APART = 7_000;
-/** Owners are far too busy: 0.25 without any holding back. Where none is sent again, three of these seeds have 0.09 or less. */
+/**
+ * Least share of requests that are answered. The owners are overloaded: the share is 0.25 when no request is held back. When
+ * a held-back request is never sent again, three of these seeds have 0.09 or less.
+ */
 const LEAST_ANSWERED = 0.2;
 
-/** Share of a hot request's tries that are answered while its owners crash for reasons of their own. */
+/** Returns the share of a hot request's copies that are answered while its owners crash for unrelated reasons. */
 function playCrashes(seed: number, daemons: number): number {
   const world = new RouterWorld(seed, daemons, 8);
   const traffic = new RequestTraffic(world, 0);
@@ -38,8 +41,8 @@
   return ofHot.filter(({ status }) => status === 200).length / ofHot.length;
 }
 
-describe('a hot request whose owners crash for reasons of their own', () => {
-  it('is answered again soon, though copies of it were lost', () => {
+describe('a hot request whose owners crash for unrelated reasons', () => {
+  it('is soon answered again, although copies of it were lost', () => {
     for (let seed = 1; seed <= 4; seed += 1) {
       const hot = playCrashes(seed, 6);
       expect(hot > LEAST_ANSWERED).toEqual(true);
--- a/test/router/quarantine/test-quarantine-properties.ts
+++ b/test/router/quarantine/test-quarantine-properties.ts
@@ -12,10 +12,10 @@
 const HOT_KEY = 519;
 const LATER_SENDS = 3;
 const RESTART = 500;
-/** More by hand: `SEEDS=200 node --test dist/test/router/request/test-quarantine-properties.js`. */
+/** For more seeds: `SEEDS=200 node --test dist/test/router/quarantine/test-quarantine-properties.js`. */
 const SEEDS = Array.from({ length: Number(process.env['SEEDS'] ?? 4) }, (_, index) => index + 1);
 
-/** A world under way, and when each daemon last had trouble. */
+/** A running simulation, and when each daemon and the store last had a fault. */
 interface Scene {
   readonly world: RouterWorld;
   readonly traffic: RequestTraffic;
@@ -27,7 +27,7 @@
   return world.daemons[world.random.below(world.daemons.length)] as Daemon;
 }
 
-/** Something happens at random moments, on average so far apart. */
+/** Runs an action at random times, with the given mean interval. */
 function often({ world }: Scene, interval: number, from: number, until: number, action: () => void): void {
   const next = (): void => {
     if (world.clock.now < until) {
@@ -61,9 +61,9 @@
   });
 }
 
-/** Daemons of which some word must have been passed on: those that were not in trouble just then. */
+/** Faults of daemons and of the store, by name. */
 const DAEMON_TROUBLES: Readonly<Record<string, (scene: Scene) => void>> = {
-  nothing: () => undefined,
+  none: () => undefined,
   killLeader: (scene) => {
     const leader = scene.world.leader();
     kill(scene, leader === undefined ? [] : [leader]);
@@ -87,26 +87,29 @@
   },
 };
 
-/** Sends of a request that came too late after it had ended enough servers, by daemons that were in touch. */
+/**
+ * Returns how often daemons that were connected to the others sent a request later than the contact time after enough
+ * servers had crashed under it.
+ */
 function lateSends({ traffic, troubledAt, storeTroubledAt }: Scene, name: string): number {
   const last = traffic.crashes.filter((crash) => crash.name === name)[CRASHES - 1];
   if (last === undefined) {
     return 0;
   }
   return traffic.sends.filter(({ name: sent, daemon, at }) => {
-    const calmSince = Math.max(troubledAt.get(daemon) ?? 0, storeTroubledAt) + CONTACT;
-    return sent === name && at > last.at + CONTACT && at > calmSince;
+    const undisturbedSince = Math.max(troubledAt.get(daemon) ?? 0, storeTroubledAt) + CONTACT;
+    return sent === name && at > last.at + CONTACT && at > undisturbedSince;
   }).length;
 }
 
-/** Tries that were refused for a quarantine. */
+/** Returns the number of requests that were refused because of a quarantine, of deadly or of innocent requests. */
 function quarantined({ traffic }: Scene, isAtFault: boolean): number {
   return traffic.told.filter(
     ({ reason, name }) => reason === QUARANTINE_REASON && traffic.deadly.has(name) === isAtFault,
   ).length;
 }
 
-/** Requests that nothing is wrong with: of a key and of any server, many a second, and one now and then. */
+/** Sends innocent requests: a keyed and an unkeyed one many times a second, and a rare one. */
 function innocentCallers(scene: Scene): void {
   const { traffic } = scene;
   const callers: readonly [NamedRequest, number][] = [
@@ -124,9 +127,9 @@
   often(scene, interval, SETTLED + 500, LENGTH, () => scene.traffic.ask(anyDaemon(scene), request));
 }
 
-describe('requests under which servers end, beside troubles of daemons', () => {
+describe('requests that crash servers while daemons have faults', () => {
   for (const [name, trouble] of Object.entries(DAEMON_TROUBLES)) {
-    it(`reach servers three times more at most: ${name}`, () => {
+    it(`reach servers at most three more times: ${name}`, () => {
       for (const seed of SEEDS) {
         const scene = createScene(seed);
         innocentCallers(scene);
@@ -143,7 +146,7 @@
     });
   }
 
-  it('are known after all daemons have started anew', () => {
+  it('stay quarantined after all daemons have restarted', () => {
     for (const seed of SEEDS) {
       const scene = createScene(seed);
       insist(scene, { name: 'deadly', route: PLAIN, key: 7 }, 3_000);
@@ -158,27 +161,27 @@
   });
 });
 
-/** Ways in which servers end or seem to, with no request at fault. */
+/** Ways in which servers end or seem to end with no request at fault, by name. */
 const SERVER_TROUBLES: Readonly<Record<string, (scene: Scene) => void>> = {
   crashes: ({ world, traffic }) => {
     const alive = world.servers.filter((server) => server.alive);
     traffic.crash(alive[world.random.below(alive.length)] as (typeof alive)[number]);
   },
-  'a part of all at once': ({ world, traffic }) => {
+  'a share of all servers at once': ({ world, traffic }) => {
     const alive = world.servers.filter((server) => server.alive);
     alive.filter(() => world.random.fraction() < 0.4).forEach((server) => traffic.crash(server));
   },
-  'connections that are reset': ({ world, traffic }) => {
+  'connection resets': ({ world, traffic }) => {
     const alive = world.servers.filter((server) => server.alive);
     alive.filter(() => world.random.fraction() < 0.5).forEach((server) => traffic.reset(server));
   },
-  'servers that leave': ({ world, traffic }) => {
+  'draining servers': ({ world, traffic }) => {
     const alive = world.servers.filter((server) => server.alive);
-    const leaving = alive[world.random.below(alive.length)] as (typeof alive)[number];
-    world.drain(leaving.id);
-    world.clock.after(2_500, () => traffic.crash(leaving));
+    const draining = alive[world.random.below(alive.length)] as (typeof alive)[number];
+    world.drain(draining.id);
+    world.clock.after(2_500, () => traffic.crash(draining));
   },
-  'the owner of the hot key, again and again': ({ world, traffic }) => {
+  'the owner of the hot key, repeatedly': ({ world, traffic }) => {
     const owner = world.servers.find((server) => server.holds(HOT_KEY));
     if (owner !== undefined) {
       traffic.crash(owner);
@@ -186,9 +189,9 @@
   },
 };
 
-describe('servers that end with no request at fault', () => {
+describe('servers that crash with no request at fault', () => {
   for (const [name, trouble] of Object.entries(SERVER_TROUBLES)) {
-    it(`put no request into quarantine: ${name}`, () => {
+    it(`cause no quarantine: ${name}`, () => {
       for (const seed of SEEDS) {
         const scene = createScene(seed);
         innocentCallers(scene);
--- a/test/router/quarantine/test-quarantine-spread.ts
+++ b/test/router/quarantine/test-quarantine-spread.ts
@@ -9,10 +9,10 @@
 const SETTLED = 6_000;
 const SECONDS_APART = 4_000;
 const REQUEST = { name: 'deadly', route: PLAIN, key: 7 };
-/** Under a calm leader word passes within this time, in ms. */
+/** Updates reach all daemons within this time, in ms, while the leader stays the same. */
 const SPREAD = 100;
 
-/** A world in which three servers have ended under a request, each by another daemon's try. */
+/** Returns a simulation in which three servers have crashed under a request, each sent by another daemon. */
 function afterThreeEnds(): { world: RouterWorld; traffic: RequestTraffic } {
   const world = new RouterWorld(5, 6, 6);
   const traffic = new RequestTraffic(world, 8);
@@ -30,7 +30,7 @@
 }
 
 describe('a quarantine', () => {
-  it('is known to every daemon, and refuses at once, truly, and without asking for a retry', () => {
+  it('is known to every daemon, and refuses a request at once, with its reason and without sending it', () => {
     const { world, traffic } = afterThreeEnds();
     expect(knowing(world)).toEqual(world.daemons);
     const before = traffic.sends.length;
@@ -54,7 +54,7 @@
     expect(knowing(world)).toEqual([]);
   });
 
-  it('is learned by a daemon that starts', () => {
+  it('is learned by a daemon that restarts', () => {
     const { world } = afterThreeEnds();
     const daemon = world.daemons.find(({ state }) => state.leadership === null) as Daemon;
     daemon.alive = false;
@@ -65,18 +65,18 @@
   });
 });
 
-describe('copies of a request that comes into quarantine', () => {
-  it('end at once, those under way and those that wait', () => {
+describe('copies of a request that becomes quarantined', () => {
+  it('end at once, both in flight and waiting', () => {
     const daemon = new SingleDaemon();
     daemon.arrive(1, '/read/1');
     daemon.arrive(2, '/rack/1', 900, 7);
     daemon.arrive(3, '/read/2');
     expect(daemon.state.requests.size).toEqual(3);
     const ended = ['a', 'b', 'c'].map((server) => ({ server, age: 0 }));
-    const rest = { ended, exonerated: [], quarantined: true, retested: false };
+    const otherFields = { ended, exonerated: [], quarantined: true, retested: false };
     const records = ['/read/1', '/rack/1'].map((name) => ({
       fingerprint: fingerprintOf(name).value,
-      ...rest,
+      ...otherFields,
     }));
     daemon.event({ kind: 'peerMessage', link: 1, message: { kind: 'crashNews', records } });
     expect([...daemon.state.requests.keys()]).toEqual([3]);
@@ -84,7 +84,7 @@
     const answers = daemon
       .only('answer')
       .map(({ requestId, status, retryAfter }) => [requestId, status, retryAfter]);
-    // The one at a server may have run; the one that waited has not.
+    // The copy at a server may have run; the waiting copy has not.
     expect(answers).toEqual([
       [1, 502, null],
       [2, 503, null],
--- a/test/router/quarantine/test-query-of-death.ts
+++ b/test/router/quarantine/test-query-of-death.ts
@@ -1,32 +1,31 @@
 /**
- * A caller sent a request that ends each server which begins to run it, and came again with it every three to five seconds. After three
- * servers had ended under it, it was sent to servers four times more; seven had ended in 12 s, and a tenth of the other
- * requests of their service was refused meanwhile.
+ * Guards against a query of death: a request that crashes each server that begins to run it, and that its caller repeats
+ * every three to five seconds. Each time the connection closes, the caller gets 502, and its next request goes to another
+ * daemon, which sends it to whichever server owns the key by then.
  *
- * Each time the connection closed, the caller got 502, and its next try went to another daemon, which sent it to whichever server owned
- * the key by then. To a daemon the end of a server was a lost attempt like any other, and nothing of it outlived the request, so
- * that no daemon knew what the same request had done before, here or elsewhere.
- *
- * The stories of the tries settled it: each is at another daemon and names one server (`its run ends: crashed`), and they are 3.0 to 4.8 s
- * apart, where a daemon's own repetition comes after 60 ms. In these worlds `request_failed` lines at different daemons have one
- * fingerprint and end in `lost: other side closed`.
+ * A daemon that treats the crash of a server as a lost attempt like any other keeps nothing of it after the request, so no
+ * daemon knows what the same request did before, here or at another daemon. After three servers had crashed, the request
+ * was sent to servers four more times; seven crashed in 12 s, and a tenth of the other requests of the service were
+ * refused meanwhile. The attempts are at different daemons and 3.0 to 4.8 s apart, whereas a daemon's own retry follows
+ * after 60 ms. In the simulation they show as `request_failed` log lines of different daemons with one fingerprint that end
+ * in `lost: other side closed`.
  */
 import { expect } from 'earl';
 import { describe, it } from 'node:test';
 import { RequestTraffic, PLAIN, type NamedRequest } from '../support/request-traffic.js';
 import { RouterWorld, SERVICE as KEYED } from '../support/router-world.js';
 
-/** Daemons have found their places, and servers hold their keys, by then. */
+/** By then daemons have joined the propagation tree, and servers hold their keys. */
 const SETTLED = 6_000;
 const LENGTH = 45_000;
-/** How often the caller comes back, at least, and how much later at most. */
+/** Shortest interval at which the caller repeats the request, and the most that is added to it. */
 const RETURN = 2_800;
 const RETURN_SPREAD = 2_000;
-/** A daemon that was in touch this long knows what others have seen. */
+/** A daemon that has been connected for this long knows what the others have observed. */
 const CONTACT = 3_000;
-/** A request under which this many servers have ended ... */
+/** A request under which this many servers have crashed ... */
 const CRASHES = 3;
-/** ... reaches servers this often at most from then on, sent by all daemons together. */
+/** ... reaches servers at most this many times from then on, over all daemons. */
 const LATER_SENDS = 3;
 
 const SEEDS = [1, 2, 3, 4];
@@ -44,7 +43,7 @@
   world.clock.after(SETTLED, next);
 }
 
-/** A caller that comes again and again with the same request, each time at any daemon. */
+/** Starts a caller that repeats the same request, each time at a random daemon. */
 function insistentCaller(world: RouterWorld, traffic: RequestTraffic, request: NamedRequest): void {
   traffic.deadly.add(request.name);
   const next = (): void => {
@@ -57,7 +56,7 @@
   world.clock.after(SETTLED + 1_000, next);
 }
 
-/** How often a request reached servers later than it may after enough of them had ended under it. */
+/** Returns how often a request was sent later than the contact time after enough servers had crashed under it. */
 function lateSends(traffic: RequestTraffic, name: string): number {
   const crashes = traffic.crashes.filter((crash) => crash.name === name);
   const last = crashes[CRASHES - 1];
@@ -76,8 +75,8 @@
   return traffic;
 }
 
-describe('a request under which servers end', () => {
-  it('is not sent on and on to owners of its key', () => {
+describe('a request that crashes servers', () => {
+  it('stops being sent to owners of its key', () => {
     for (const seed of SEEDS) {
       const traffic = play(seed, { name: 'deadly', route: KEYED, key: 7 });
       expect(traffic.crashes.length >= CRASHES).toEqual(true);
@@ -85,7 +84,7 @@
     }
   });
 
-  it('is not sent on and on to servers of which any can run it', () => {
+  it('stops being sent to servers when any server can run it', () => {
     for (const seed of SEEDS) {
       const traffic = play(seed, { name: 'deadly', route: PLAIN, key: 7 });
       expect(traffic.crashes.length >= CRASHES).toEqual(true);
--- a/test/router/quarantine/test-server-ends.ts
+++ b/test/router/quarantine/test-server-ends.ts
@@ -13,10 +13,13 @@
 const ANSWERED: AttemptResult = { kind: 'answered', status: 200, load: null };
 const REQUEST = '/book/1';
 const PLACE = 's1';
-/** Known to others in time only if it is known here by then: 3 s are allowed from an end to the last send. */
+/**
+ * Time within which this daemon must detect a crash, so that the others learn of it within the 3 s that are allowed from
+ * the crash to the last send.
+ */
 const KNOWN_WITHIN = 1_700;
 
-/** A daemon whose request was at its only server, which ended the connection. */
+/** Returns a daemon whose request was at its only server when the server closed the connection. */
 function afterBrokenConnection(): SingleDaemon {
   const daemon = new SingleDaemon();
   daemon.event({ kind: 'serversListed', servers: [server(PLACE)], revision: 6 });
@@ -26,7 +29,7 @@
   return daemon;
 }
 
-/** Lets time pass; probes come to an outcome at once. */
+/** Advances time, and answers each probe with the given outcome at once. */
 function probed(daemon: SingleDaemon, outcome: ControlOutcome): void {
   const end = daemon.now + KNOWN_WITHIN;
   while (daemon.now < end) {
@@ -42,29 +45,29 @@
   return daemon.state.crashes.endsUnder(fingerprintOf(REQUEST));
 }
 
-describe('a server whose side ended the connection of a request', () => {
+describe('a server that closed the connection of a request', () => {
   const outcomes: readonly [string, ControlOutcome, number][] = [
     ['refuses connections', { kind: 'notSent', reason: 'refused', refused: true }, 1],
-    ['is another life', { kind: 'otherInstance' }, 1],
-    ['is not there at all', { kind: 'notSent', reason: 'connect timeout', refused: false }, 1],
-    ['answers nothing', { kind: 'unanswered', reason: 'timeout' }, 1],
-    ['answers', { kind: 'accepted', handover: null }, 0],
+    ['is another incarnation', { kind: 'otherInstance' }, 1],
+    ['is unreachable', { kind: 'notSent', reason: 'connect timeout', refused: false }, 1],
+    ['answers no probe', { kind: 'unanswered', reason: 'timeout' }, 1],
+    ['answers a probe', { kind: 'accepted', handover: null }, 0],
   ];
   for (const [name, outcome, expected] of outcomes) {
-    it(`has ${expected === 1 ? '' : 'not '}ended when it ${name}`, () => {
+    it(`has ${expected === 1 ? '' : 'not '}crashed when it ${name}`, () => {
       const daemon = afterBrokenConnection();
       probed(daemon, outcome);
       expect(ends(daemon)).toEqual(expected);
     });
   }
 
-  it('has ended when its entry goes', () => {
+  it('has crashed when its entry is removed', () => {
     const daemon = afterBrokenConnection();
     daemon.event({ kind: 'serversChanged', changes: [{ id: PLACE, server: null }], revision: 9 });
     expect(ends(daemon)).toEqual(1);
   });
 
-  it('has not ended when it answers what was sent afterwards', () => {
+  it('has not crashed when it answers a request that was sent afterwards', () => {
     const daemon = afterBrokenConnection();
     daemon.ticksUntil(daemon.now + 300);
     daemon.arrive(2, '/read/2');
@@ -73,7 +76,7 @@
     expect(ends(daemon)).toEqual(0);
   });
 
-  it('ends as planned when it drains', () => {
+  it('has not crashed when it was draining', () => {
     const daemon = new SingleDaemon();
     daemon.event({ kind: 'serversListed', servers: [server(PLACE)], revision: 6 });
     daemon.arrive(1, REQUEST);
