--- a/src/router/quarantine/crash-entry.ts
+++ b/src/router/quarantine/crash-entry.ts
@@ -37,10 +37,10 @@
 export interface AddedEnd {
   readonly isNew: boolean;
   /** The server whose crash was evicted to make room, or null. */
-  readonly dropped: ServerId | null;
+  readonly evicted: ServerId | null;
 }
 
-const NOTHING_ADDED: AddedEnd = { isNew: false, dropped: null };
+const NOTHING_ADDED: AddedEnd = { isNew: false, evicted: null };
 
 export class CrashEntry {
   readonly fingerprint: string;
@@ -94,7 +94,7 @@
   addEnd({ server, age, copies = [] }: CrashedServer, now: Milliseconds): AddedEnd {
     const at = now - age;
     if (this.#crashTimes.has(server)) {
-      return { isNew: this.copies.add(server, copies, now), dropped: null };
+      return { isNew: this.copies.add(server, copies, now), evicted: null };
     }
     if (this.#exonerated.has(server)) {
       return NOTHING_ADDED;
@@ -109,7 +109,7 @@
     this.#suspectedAt = this.#crashTimes.size === 0 ? now : this.#suspectedAt;
     this.#crashTimes.set(server, at);
     this.copies.add(server, copies, now);
-    return { isNew: true, dropped: newest };
+    return { isNew: true, evicted: newest };
   }
 
   /**
--- a/src/router/quarantine/crash-table.ts
+++ b/src/router/quarantine/crash-table.ts
@@ -165,9 +165,9 @@
   }
 
   #addCrash(entry: CrashEntry, crash: CrashedServer, now: Milliseconds): boolean {
-    const { isNew, dropped } = entry.addEnd(crash, now);
-    if (dropped !== null) {
-      this.#suspects.forget(dropped, entry.fingerprint);
+    const { isNew, evicted } = entry.addEnd(crash, now);
+    if (evicted !== null) {
+      this.#suspects.forget(evicted, entry.fingerprint);
     }
     if (isNew) {
       this.#suspects.add(crash.server, entry.fingerprint, now);
--- a/src/router/quarantine/stored-quarantines-state.ts
+++ b/src/router/quarantine/stored-quarantines-state.ts
@@ -8,13 +8,13 @@
   /** The revision of the object, or null when there is none. */
   revision: number | null;
   /** The fingerprints in the object, as sorted text. */
-  content: string;
+  storedFingerprints: string;
   /** The fingerprints of the write in progress, as sorted text, or null. */
-  writing: string | null;
+  pendingFingerprints: string | null;
   nextCallAt: Milliseconds;
 }
 
 /** Returns the state before the object has been read. */
 export function createStoredQuarantines(): StoredQuarantines {
-  return { term: null, revision: null, content: '', writing: null, nextCallAt: 0 };
+  return { term: null, revision: null, storedFingerprints: '', pendingFingerprints: null, nextCallAt: 0 };
 }
--- a/src/router/quarantine/stored-quarantines.ts
+++ b/src/router/quarantine/stored-quarantines.ts
@@ -52,15 +52,15 @@
   }
   if (stored.term !== leadership.term) {
     stored.nextCallAt = now + CALL_INTERVAL;
-    stored.writing = null;
+    stored.pendingFingerprints = null;
     context.emit({ kind: 'readObject', object: 'quarantines' });
     return;
   }
   const value = currentRecord(context);
-  const content = contentOf(value);
-  if (stored.writing === null && content !== stored.content) {
+  const fingerprints = contentOf(value);
+  if (stored.pendingFingerprints === null && fingerprints !== stored.storedFingerprints) {
     stored.nextCallAt = now + CALL_INTERVAL;
-    stored.writing = content;
+    stored.pendingFingerprints = fingerprints;
     context.emit({ kind: 'writeObject', object: 'quarantines', value, revision: stored.revision });
   }
 }
@@ -71,11 +71,11 @@
   state.storedQuarantines.revision = revision;
   if (!parsed.success) {
     // The object can't be parsed. The next change overwrites it.
-    state.storedQuarantines.content = '';
+    state.storedQuarantines.storedFingerprints = '';
     state.counters.malformed_store_objects += 1;
     return;
   }
-  state.storedQuarantines.content = contentOf(parsed.data);
+  state.storedQuarantines.storedFingerprints = contentOf(parsed.data);
   const records: CrashRecord[] = parsed.data.quarantines.map(({ fingerprint, servers }) => ({
     fingerprint,
     ended: servers.map((server) => ({ server, age: 0 })),
@@ -97,18 +97,18 @@
     takeStored(context, outcome.value, outcome.revision);
   } else {
     stored.revision = null;
-    stored.content = '';
+    stored.storedFingerprints = '';
   }
 }
 
 /** Handles the result of the leader's write of the stored quarantines. */
 export function receiveQuarantinesWritten(context: RouterContext, { outcome }: ObjectWrittenEvent): void {
   const { storedQuarantines: stored } = context.state;
-  const { writing } = stored;
-  stored.writing = null;
-  if (outcome.kind === 'written' && writing !== null) {
+  const { pendingFingerprints } = stored;
+  stored.pendingFingerprints = null;
+  if (outcome.kind === 'written' && pendingFingerprints !== null) {
     stored.revision = outcome.revision;
-    stored.content = writing;
+    stored.storedFingerprints = pendingFingerprints;
   } else if (outcome.kind === 'conflict') {
     takeStored(context, outcome.value, outcome.revision);
   } else if (outcome.kind === 'unknown') {
--- a/test/router/notices/test-rest-world.ts
+++ b/test/router/notices/test-rest-world.ts
@@ -20,9 +20,9 @@
 
 interface Outcome {
   /** Share of the requests during the fault that were answered. */
-  readonly served: number;
+  readonly servedShare: number;
   /** Number of requests that arrived during back-offs, beyond those that are allowed. */
-  readonly tooMany: number;
+  readonly excessArrivals: number;
 }
 
 /** Simulates owners of keys that reject every request for a time. */
@@ -48,13 +48,13 @@
   world.clock.runUntil(SETTLED + ILL + 8_000);
   expect(traffic.told.slice(-100).filter(({ status }) => status === 200).length > 95).toEqual(true);
   return {
-    served: told.filter(({ status }) => status === 200).length / told.length,
-    tooMany: arrivalsTooMany(sends),
+    servedShare: told.filter(({ status }) => status === 200).length / told.length,
+    excessArrivals: arrivalsTooMany(sends),
   };
 }
 
 function arrivalsTooMany(sends: readonly Send[]): number {
-  let tooMany = 0;
+  let excessArrivals = 0;
   for (const first of sends) {
     const within = sends.filter(
       ({ server, daemon, at }) =>
@@ -63,17 +63,17 @@
         at > first.at + ON_ITS_WAY &&
         at < first.at + REST,
     );
-    tooMany += Math.max(0, within.length - MOST_IN_REST);
+    excessArrivals += Math.max(0, within.length - MOST_IN_REST);
   }
-  return tooMany;
+  return excessArrivals;
 }
 
 describe('owners of keys that reject every request and ask for a back-off', () => {
   it('get no request during the back-off, and other servers serve their keys', () => {
     for (let seed = 1; seed <= 4; seed += 1) {
-      const { served, tooMany } = playRest(seed);
-      expect(tooMany).toEqual(0);
-      expect(served > LEAST_SERVED).toEqual(true);
+      const { servedShare, excessArrivals } = playRest(seed);
+      expect(excessArrivals).toEqual(0);
+      expect(servedShare > LEAST_SERVED).toEqual(true);
     }
   });
 });
--- a/test/router/quarantine/test-crash-table.ts
+++ b/test/router/quarantine/test-crash-table.ts
@@ -15,7 +15,7 @@
 }
 
 /** Returns a table in which three servers have crashed under a request, one after the other, and it is quarantined. */
-function quarantined(): CrashTable {
+function createQuarantinedTable(): CrashTable {
   const table = new CrashTable();
   ['s1', 's2', 's3'].forEach((server, index) => table.merge(ends([server]), index * 3_000));
   table.confirmSuspicions(CONFIRMATION, 6_000);
@@ -31,8 +31,8 @@
   });
 
   it('quarantines a request after three crashes', () => {
-    expect(quarantined().isQuarantined(DEADLY)).toEqual(true);
-    expect(quarantined().isQuarantined(fingerprintOf('other'))).toEqual(false);
+    expect(createQuarantinedTable().isQuarantined(DEADLY)).toEqual(true);
+    expect(createQuarantinedTable().isQuarantined(fingerprintOf('other'))).toEqual(false);
   });
 
   it('does not quarantine for crashes at the same time, or before the confirmation time is over', () => {
@@ -49,7 +49,7 @@
   });
 
   it('permanently discounts the crashes of a request that is cleared', () => {
-    const table = quarantined();
+    const table = createQuarantinedTable();
     table.clear(DEADLY, 7_000);
     expect(table.isQuarantined(DEADLY)).toEqual(false);
     expect(table.merge(ends(['s1', 's2', 's3']), 7_100)).toEqual(null);
@@ -57,14 +57,14 @@
   });
 
   it('discounts the crash of a server that answers a request sent after the crash was reported', () => {
-    const table = quarantined();
+    const table = createQuarantinedTable();
     expect(table.noteAlive('s2', 2_999, 7_000)).toEqual([]);
     expect(table.noteAlive('s2', 3_001, 7_000).length).toEqual(1);
     expect(table.isQuarantined(DEADLY)).toEqual(false);
   });
 
   it('removes the oldest suspicions first, and no quarantine to make room for a suspicion', () => {
-    const table = quarantined();
+    const table = createQuarantinedTable();
     for (let index = 0; index < 2_000; index += 1) {
       table.merge(ends(['s9'], 0, fingerprintOf(`innocent ${index}`)), 8_000 + index);
     }
@@ -75,7 +75,7 @@
   });
 
   it('expires suspicions, but no quarantine', () => {
-    const table = quarantined();
+    const table = createQuarantinedTable();
     table.merge(ends(['s9'], 0, fingerprintOf('once')), 8_000);
     table.expire(8_000 + 601_000);
     expect(table.endsUnder(fingerprintOf('once'))).toEqual(0);
--- a/test/router/quarantine/test-quarantine-properties.ts
+++ b/test/router/quarantine/test-quarantine-properties.ts
@@ -19,8 +19,8 @@
 interface Scene {
   readonly world: RouterWorld;
   readonly traffic: RequestTraffic;
-  readonly troubledAt: Map<Daemon, number>;
-  storeTroubledAt: number;
+  readonly lastFaultAt: Map<Daemon, number>;
+  lastStoreFaultAt: number;
 }
 
 function anyDaemon({ world }: Scene): Daemon {
@@ -41,49 +41,49 @@
 function createScene(seed: number): Scene {
   const world = new RouterWorld(seed, 6, 8);
   const traffic = new RequestTraffic(world, 8);
-  const scene = { world, traffic, troubledAt: new Map<Daemon, number>(), storeTroubledAt: 0 };
-  often(scene, 25, SETTLED, LENGTH, () => {
+  const simulation = { world, traffic, lastFaultAt: new Map<Daemon, number>(), lastStoreFaultAt: 0 };
+  often(simulation, 25, SETTLED, LENGTH, () => {
     const index = world.random.below(10_000);
     const route = world.random.fraction() < 0.5 ? KEYED : PLAIN;
-    traffic.ask(anyDaemon(scene), { name: `r${index}`, route, key: 7 + 512 * (index % 128) });
+    traffic.ask(anyDaemon(simulation), { name: `r${index}`, route, key: 7 + 512 * (index % 128) });
   });
-  return scene;
+  return simulation;
 }
 
-function kill(scene: Scene, daemons: readonly Daemon[]): void {
-  const { world, troubledAt } = scene;
+function kill(simulation: Scene, daemons: readonly Daemon[]): void {
+  const { world, lastFaultAt } = simulation;
   daemons.forEach((daemon) => (daemon.alive = false));
   world.clock.after(RESTART, () => {
     daemons.forEach((daemon) => {
       world.startDaemon(daemon);
-      troubledAt.set(daemon, world.clock.now);
+      lastFaultAt.set(daemon, world.clock.now);
     });
   });
 }
 
 /** Faults of daemons and of the store, by name. */
-const DAEMON_TROUBLES: Readonly<Record<string, (scene: Scene) => void>> = {
+const DAEMON_TROUBLES: Readonly<Record<string, (simulation: Scene) => void>> = {
   none: () => undefined,
-  killLeader: (scene) => {
-    const leader = scene.world.leader();
-    kill(scene, leader === undefined ? [] : [leader]);
+  killLeader: (simulation) => {
+    const leader = simulation.world.leader();
+    kill(simulation, leader === undefined ? [] : [leader]);
   },
-  killSome: (scene) =>
+  killSome: (simulation) =>
     kill(
-      scene,
-      scene.world.daemons.filter(() => scene.world.random.fraction() < 0.4),
+      simulation,
+      simulation.world.daemons.filter(() => simulation.world.random.fraction() < 0.4),
     ),
-  cutOff: (scene) => {
-    const daemon = anyDaemon(scene);
+  cutOff: (simulation) => {
+    const daemon = anyDaemon(simulation);
     daemon.peersReachable = false;
-    scene.world.clock.after(2_500, () => {
+    simulation.world.clock.after(2_500, () => {
       daemon.peersReachable = true;
-      scene.troubledAt.set(daemon, scene.world.clock.now);
+      simulation.lastFaultAt.set(daemon, simulation.world.clock.now);
     });
   },
-  storeDown: (scene) => {
-    scene.world.store.downUntil = scene.world.clock.now + 4_000;
-    scene.storeTroubledAt = scene.world.store.downUntil;
+  storeDown: (simulation) => {
+    simulation.world.store.downUntil = simulation.world.clock.now + 4_000;
+    simulation.lastStoreFaultAt = simulation.world.store.downUntil;
   },
 };
 
@@ -91,13 +91,13 @@
  * Returns how often daemons that were connected to the others sent a request later than the contact time after enough
  * servers had crashed under it.
  */
-function lateSends({ traffic, troubledAt, storeTroubledAt }: Scene, name: string): number {
+function lateSends({ traffic, lastFaultAt, lastStoreFaultAt }: Scene, name: string): number {
   const last = traffic.crashes.filter((crash) => crash.name === name)[CRASHES - 1];
   if (last === undefined) {
     return 0;
   }
   return traffic.sends.filter(({ name: sent, daemon, at }) => {
-    const undisturbedSince = Math.max(troubledAt.get(daemon) ?? 0, storeTroubledAt) + CONTACT;
+    const undisturbedSince = Math.max(lastFaultAt.get(daemon) ?? 0, lastStoreFaultAt) + CONTACT;
     return sent === name && at > last.at + CONTACT && at > undisturbedSince;
   }).length;
 }
@@ -110,59 +110,59 @@
 }
 
 /** Sends innocent requests: a keyed and an unkeyed one many times a second, and a rare one. */
-function innocentCallers(scene: Scene): void {
-  const { traffic } = scene;
+function innocentCallers(simulation: Scene): void {
+  const { traffic } = simulation;
   const callers: readonly [NamedRequest, number][] = [
     [{ name: 'hot-keyed', route: KEYED, key: HOT_KEY }, 15],
     [{ name: 'hot', route: PLAIN, key: 7 }, 15],
     [{ name: 'seldom', route: PLAIN, key: 7 }, 800],
   ];
   for (const [request, interval] of callers) {
-    often(scene, interval, SETTLED, LENGTH, () => traffic.ask(anyDaemon(scene), request));
+    often(simulation, interval, SETTLED, LENGTH, () => traffic.ask(anyDaemon(simulation), request));
   }
 }
 
-function insist(scene: Scene, request: NamedRequest, interval: number): void {
-  scene.traffic.deadly.add(request.name);
-  often(scene, interval, SETTLED + 500, LENGTH, () => scene.traffic.ask(anyDaemon(scene), request));
+function insist(simulation: Scene, request: NamedRequest, interval: number): void {
+  simulation.traffic.deadly.add(request.name);
+  often(simulation, interval, SETTLED + 500, LENGTH, () => simulation.traffic.ask(anyDaemon(simulation), request));
 }
 
 describe('requests that crash servers while daemons have faults', () => {
-  for (const [name, trouble] of Object.entries(DAEMON_TROUBLES)) {
+  for (const [name, fault] of Object.entries(DAEMON_TROUBLES)) {
     it(`reach servers at most three more times: ${name}`, () => {
       for (const seed of SEEDS) {
-        const scene = createScene(seed);
-        innocentCallers(scene);
-        insist(scene, { name: 'deadly-keyed', route: KEYED, key: HOT_KEY }, 2_500);
-        insist(scene, { name: 'deadly', route: PLAIN, key: 7 }, 3_000);
-        insist(scene, { name: 'deadly-once', route: `${PLAIN}-once`, key: 7 }, 1_500);
-        often(scene, 5_000, SETTLED, TROUBLES_UNTIL, () => trouble(scene));
-        scene.world.clock.runUntil(LENGTH);
-        const late = [...scene.traffic.deadly].map((deadly) => lateSends(scene, deadly));
+        const simulation = createScene(seed);
+        innocentCallers(simulation);
+        insist(simulation, { name: 'deadly-keyed', route: KEYED, key: HOT_KEY }, 2_500);
+        insist(simulation, { name: 'deadly', route: PLAIN, key: 7 }, 3_000);
+        insist(simulation, { name: 'deadly-once', route: `${PLAIN}-once`, key: 7 }, 1_500);
+        often(simulation, 5_000, SETTLED, TROUBLES_UNTIL, () => fault(simulation));
+        simulation.world.clock.runUntil(LENGTH);
+        const late = [...simulation.traffic.deadly].map((deadly) => lateSends(simulation, deadly));
         expect(Math.max(...late) <= LATER_SENDS).toEqual(true);
-        expect(quarantined(scene, true) > 0).toEqual(true);
-        expect(quarantined(scene, false)).toEqual(0);
+        expect(quarantined(simulation, true) > 0).toEqual(true);
+        expect(quarantined(simulation, false)).toEqual(0);
       }
     });
   }
 
   it('stay quarantined after all daemons have restarted', () => {
     for (const seed of SEEDS) {
-      const scene = createScene(seed);
-      insist(scene, { name: 'deadly', route: PLAIN, key: 7 }, 3_000);
-      scene.world.clock.runUntil(TROUBLES_UNTIL);
-      const before = scene.traffic.crashes.length;
-      kill(scene, scene.world.daemons);
-      scene.world.clock.runUntil(LENGTH);
+      const simulation = createScene(seed);
+      insist(simulation, { name: 'deadly', route: PLAIN, key: 7 }, 3_000);
+      simulation.world.clock.runUntil(TROUBLES_UNTIL);
+      const before = simulation.traffic.crashes.length;
+      kill(simulation, simulation.world.daemons);
+      simulation.world.clock.runUntil(LENGTH);
       expect(before >= CRASHES).toEqual(true);
-      const later = scene.traffic.crashes.filter(({ at }) => at > TROUBLES_UNTIL + RESTART + CONTACT);
+      const later = simulation.traffic.crashes.filter(({ at }) => at > TROUBLES_UNTIL + RESTART + CONTACT);
       expect(later).toEqual([]);
     }
   });
 });
 
 /** Ways in which servers end or seem to end with no request at fault, by name. */
-const SERVER_TROUBLES: Readonly<Record<string, (scene: Scene) => void>> = {
+const SERVER_TROUBLES: Readonly<Record<string, (simulation: Scene) => void>> = {
   crashes: ({ world, traffic }) => {
     const alive = world.servers.filter((server) => server.alive);
     traffic.crash(alive[world.random.below(alive.length)] as (typeof alive)[number]);
@@ -190,14 +190,14 @@
 };
 
 describe('servers that crash with no request at fault', () => {
-  for (const [name, trouble] of Object.entries(SERVER_TROUBLES)) {
+  for (const [name, fault] of Object.entries(SERVER_TROUBLES)) {
     it(`cause no quarantine: ${name}`, () => {
       for (const seed of SEEDS) {
-        const scene = createScene(seed);
-        innocentCallers(scene);
-        often(scene, 2_500, SETTLED, LENGTH, () => trouble(scene));
-        scene.world.clock.runUntil(LENGTH);
-        expect(quarantined(scene, false)).toEqual(0);
+        const simulation = createScene(seed);
+        innocentCallers(simulation);
+        often(simulation, 2_500, SETTLED, LENGTH, () => fault(simulation));
+        simulation.world.clock.runUntil(LENGTH);
+        expect(quarantined(simulation, false)).toEqual(0);
       }
     });
   }
