--- a/src/router/quarantine/crash-entry.ts
+++ b/src/router/quarantine/crash-entry.ts
@@ -20,8 +20,8 @@
  */
 const LONGEST_BURST: Milliseconds = 500;
 /**
- * The leader sends a quarantined request once more when its record has been unchanged for this long and the leader has
- * refused more than the given number of requests since then.
+ * The leader sends a quarantined request once more when its record has been unchanged for RETEST_DELAY and the leader has
+ * then refused more than REFUSALS_BEFORE_RETEST copies of it.
  */
 const RETEST_DELAY: Milliseconds = 10_000;
 const REFUSALS_BEFORE_RETEST = 20;
