--- a/test/router/quarantine/test-quarantine-properties.ts
+++ b/test/router/quarantine/test-quarantine-properties.ts
@@ -124,7 +124,9 @@
 
 function insist(simulation: Scene, request: NamedRequest, interval: number): void {
   simulation.traffic.deadly.add(request.name);
-  often(simulation, interval, SETTLED + 500, LENGTH, () => simulation.traffic.ask(anyDaemon(simulation), request));
+  often(simulation, interval, SETTLED + 500, LENGTH, () =>
+    simulation.traffic.ask(anyDaemon(simulation), request),
+  );
 }
 
 describe('requests that crash servers while daemons have faults', () => {
