--- a/src/router/counters.ts
+++ b/src/router/counters.ts
@@ -1,4 +1,4 @@
-/** Counters by name; the metrics address shows each as `fennelferry_router_<name>_total`. */
+/** Counters by name. The metrics endpoint exposes each as `fennelferry_router_<name>_total`. */
 
 /** Every counter of a router daemon. */
 export const ROUTER_COUNTER_NAMES = [
@@ -51,7 +51,7 @@
 export type RouterCounterName = (typeof ROUTER_COUNTER_NAMES)[number];
 export type RouterCounters = Record<RouterCounterName, number>;
 
-/** All counters at zero. */
+/** Creates all counters with value zero. */
 export function createRouterCounters(): RouterCounters {
   return Object.fromEntries(ROUTER_COUNTER_NAMES.map((name) => [name, 0])) as RouterCounters;
 }
--- a/src/router/effects.ts
+++ b/src/router/effects.ts
@@ -1,4 +1,4 @@
-/** Everything a daemon can do. The reducer returns these as data; the runtime performs them. */
+/** The effects of a daemon: the reducer returns them as data, and the runtime performs them. */
 import type { StoredName } from './events.js';
 import type { LogEventName } from './log-events.js';
 import type { FeedName, Fence, Key, Milliseconds, ServerId } from './model/identifiers.js';
@@ -12,15 +12,15 @@
   readonly kind: 'writeObject';
   readonly object: StoredName;
   readonly value: unknown;
-  /** The revision that is replaced, or null to create the object. */
+  /** The revision to replace; null creates the object. */
   readonly revision: number | null;
 }
-/** Reads a feed anew: what is believed may be old. */
+/** Lists a feed again, since the known state may be stale. */
 export interface RefreshFeedEffect {
   readonly kind: 'refreshFeed';
   readonly feed: FeedName;
 }
-/** A grant or a release at a server, or a probe: whether it is still the same one. */
+/** Sends a grant or a release to a server, or a probe that checks whether the same incarnation still answers. */
 export interface ControlEffect {
   readonly kind: 'control';
   readonly callId: number;
@@ -30,91 +30,95 @@
   readonly from: Key;
   readonly to: Key;
   readonly fence: Fence;
-  /** How long the server holds the keys from the arrival of the grant. */
+  /** Lease duration: how long the server holds the keys, counted from the arrival of the grant. */
   readonly hold: Milliseconds;
+  /** Token from the former owner's release, passed on with the grant; null: none. */
   readonly handover: string | null;
+  /** How long to wait for the response. */
   readonly patience: Milliseconds;
-  /** Path of a probe. */
+  /** Path that a probe requests. */
   readonly healthPath: string;
 }
-/** Sends a request to a server. */
+/** Sends an attempt of a request to a server. */
 export interface ForwardEffect {
   readonly kind: 'forward';
   readonly requestId: number;
   readonly attempt: number;
   readonly server: ServerId;
   readonly address: string;
-  /** Passed on to the server as what is left of the request's time. */
+  /** Time until the request's deadline, sent along to the server. */
   readonly timeLeft: Milliseconds;
-  /** An answer is passed on only once it is whole, as far as that is possible. */
+  /** Whether the response is sent to the caller only once it is complete, as far as it can be buffered. */
   readonly buffer: boolean;
-  /** The server names a limit, as far as is known: an answer without one says that it ceased to. */
+  /** Whether the server has a known rate limit: a response without one then means that the limit has ended. */
   readonly isLimited: boolean;
 }
-/** Gives up an attempt; its connection is closed. */
+/** Cancels an attempt and closes its connection. */
 export interface CancelEffect {
   readonly kind: 'cancel';
   readonly requestId: number;
   readonly attempt: number;
 }
-/** Takes an attempt back unless it has been sent: its connection may not have come up yet. */
+/** Cancels an attempt unless it has been sent already: its connection may not be established yet. */
 export interface WithdrawEffect {
   readonly kind: 'withdraw';
   readonly requestId: number;
   readonly attempt: number;
 }
-/** Closes the idle connections to an address: the server that was there is gone, and the next one knows nothing of them. */
+/** Closes idle connections to an address: the server there is gone, and its successor does not know the connections. */
 export interface ForgetConnectionsEffect {
   readonly kind: 'forgetConnections';
   readonly address: string;
 }
-/** The daemon's own final answer. */
+/** Sends the caller a final response of the daemon's own. */
 export interface AnswerEffect {
   readonly kind: 'answer';
   readonly requestId: number;
   readonly status: number;
   readonly reason: string;
-  /** When the caller should come back, or null. */
+  /** Delay after which the caller should retry; null: not stated. */
   readonly retryAfter: Milliseconds | null;
 }
-/** Begins or ceases to follow the store. */
+/** Starts or stops listing and watching the configuration and the servers in the store. */
 export interface FollowStoreEffect {
   readonly kind: 'followStore';
   readonly follows: boolean;
-  /** What came up to these revisions of the store is known; null: nothing is. */
+  /** Changes up to these store revisions are known already; null: nothing is known. */
   readonly serversRevision: number | null;
   readonly configurationRevision: number | null;
 }
-/** Begins or ceases to follow the evacuations in the store. */
+/** Starts or stops listing and watching the zone evacuations in the store. */
 export interface FollowEvacuationsEffect {
   readonly kind: 'followEvacuations';
   readonly follows: boolean;
-  /** What came up to this revision of the store is known; null: nothing is. */
+  /** Changes up to this store revision are known already; null: nothing is known. */
   readonly revision: number | null;
 }
-/** Connects to a parent; a connection to another address is closed. Null: to none. */
+/** Connects to a parent in the propagation tree and closes the connection to any other address. */
 export interface FollowEffect {
   readonly kind: 'follow';
+  /** Null: connects to no parent. */
   readonly address: string | null;
 }
 export interface SendToParentEffect {
   readonly kind: 'sendToParent';
   readonly message: PeerMessage;
 }
-/** Sends to daemons that are connected to this one: all, or one. */
+/** Sends a message to the children in the propagation tree. */
 export interface SendToChildrenEffect {
   readonly kind: 'sendToChildren';
+  /** Connection number of a single child; null: all children. */
   readonly link: number | null;
   readonly message: PeerMessage;
 }
-/** A request got its final answer, or its caller left: for the latency histograms. */
+/** Records in the latency histograms that a request got its final response or that its caller disconnected. */
 export interface RequestEndedEffect {
   readonly kind: 'requestEnded';
   readonly outcome: RequestOutcome;
   readonly duration: Milliseconds;
 }
 export type RequestOutcome = 'answered' | 'refused' | 'failed' | 'broken_off' | 'caller_left';
-/** A line of the log: an event of the catalogue with its fields. */
+/** Writes a log line: an event of the catalogue with its fields. */
 export interface LogEffect {
   readonly kind: 'log';
   readonly level: 'info' | 'warn';
--- a/src/router/events.ts
+++ b/src/router/events.ts
@@ -1,4 +1,4 @@
-/** Everything that can happen to a daemon. The reducer knows nothing else of the world. */
+/** The events of a daemon: the only inputs of the reducer. */
 import type { Configuration } from './model/configuration.js';
 import type { FeedName, Key, Milliseconds, ServerId } from './model/identifiers.js';
 import type { RequestFingerprint } from './model/request-fingerprint.js';
@@ -10,44 +10,45 @@
 import type { ReportedLoad } from './request/server-load.js';
 import type { RouterBounds } from './router-bounds.js';
 
-/** Time passed. */
+/** Occurs at a regular interval and runs the work that depends on time. */
 export interface TickEvent {
   readonly kind: 'tick';
 }
 /**
- * The machine was suspended, or the time of day was set ahead and no clock tells which it was. Comes before anything else that
- * happens after it.
+ * The machine was suspended, or the time of day was set ahead and no other clock can tell the two apart. Delivered before any
+ * event that happens after the suspension.
  */
 export interface ResumedEvent {
   readonly kind: 'resumed';
+  /** Duration of the suspension. */
   readonly length: Milliseconds;
-  /** The daemon's clock has counted that time. */
+  /** Whether the daemon's clock advanced during the suspension. */
   readonly isCounted: boolean;
 }
-/** A configuration was read; the reducer ignores one that is not newer. */
+/** A configuration was read from the store. The reducer ignores one that is not newer than the current one. */
 export interface ConfigurationEvent {
   readonly kind: 'configuration';
   readonly configuration: Configuration;
-  /** Of the store: what came after it was not seen. */
+  /** Store revision at which the configuration was read: later changes are not included. */
   readonly revision: number;
 }
-/** All servers that are listed. */
+/** The complete server list was read from the store. */
 export interface ServersListedEvent {
   readonly kind: 'serversListed';
   readonly servers: readonly ServerDescription[];
   readonly revision: number;
 }
-/** Servers were listed, changed, or taken off the list. */
+/** Entries of the server list were added, changed or removed. */
 export interface ServersChangedEvent {
   readonly kind: 'serversChanged';
   readonly changes: readonly ServerChange[];
   readonly revision: number;
 }
-/** All zones that operators evacuate. */
+/** The complete list of evacuated zones was read from the store. */
 export interface EvacuationsListedEvent extends EvacuationStatement {
   readonly kind: 'evacuationsListed';
 }
-/** A zone's evacuation was ordered or taken back. */
+/** The start or the end of a zone's evacuation. */
 export interface EvacuationOrder {
   readonly zone: string;
   readonly evacuated: boolean;
@@ -57,22 +58,22 @@
   readonly changes: readonly EvacuationOrder[];
   readonly revision: number;
 }
-/** The store answered a list or a watch of a feed. */
+/** The store answered a list or watch call of a feed. */
 export interface FeedAnsweredEvent {
   readonly kind: 'feedAnswered';
   readonly feed: FeedName;
 }
-/** A list or a watch of a feed ended without an answer that can be used. */
+/** A list or watch call of a feed ended without a usable answer of the store. */
 export interface FeedFailedEvent {
   readonly kind: 'feedFailed';
   readonly feed: FeedName;
   readonly call: 'list' | 'watch';
-  /** How long the call took until it was given up. */
+  /** Time from the start of the call until it was given up. */
   readonly waited: Milliseconds;
   readonly reason: string;
 }
 
-/** An object of the daemons' own was read. */
+/** A read of one of the daemons' own objects in the store ended. */
 export interface ObjectReadEvent {
   readonly kind: 'objectRead';
   readonly object: StoredName;
@@ -85,7 +86,7 @@
   | { readonly kind: 'absent' }
   | { readonly kind: 'failed'; readonly reason: string };
 
-/** A write ended. */
+/** A write of one of the daemons' own objects in the store ended. */
 export interface ObjectWrittenEvent {
   readonly kind: 'objectWritten';
   readonly object: StoredName;
@@ -94,17 +95,17 @@
 }
 export type WriteOutcome =
   | { readonly kind: 'written'; readonly revision: number }
-  /** Another revision is there: nothing was written by this call. */
+  /** The store has another revision: this call wrote nothing. */
   | { readonly kind: 'conflict'; readonly revision: number; readonly value: unknown }
-  /** Nothing was done. */
+  /** The store rejected the call and wrote nothing. */
   | { readonly kind: 'refused'; readonly reason: string }
-  /** It may have been written, or may be later. */
+  /** The write may have taken effect, or may still take effect later. */
   | { readonly kind: 'unknown'; readonly reason: string };
 
-/** The objects that the daemons keep in the store. */
+/** Names of the objects that the daemons keep in the store. */
 export type StoredName = 'leader' | 'ownership' | 'quarantines';
 
-/** A grant or a release ended. */
+/** A grant, release or probe call to a server ended. */
 export interface ControlEndedEvent {
   readonly kind: 'controlEnded';
   readonly callId: number;
@@ -113,27 +114,27 @@
 export type ControlOutcome =
   | { readonly kind: 'accepted'; readonly handover: string | null }
   | { readonly kind: 'higherFence' }
-  /** Another life answers at the address. */
+  /** Another incarnation answers at the server's address. */
   | { readonly kind: 'otherInstance' }
   | { readonly kind: 'rejected'; readonly status: number }
   | { readonly kind: 'unanswered'; readonly reason: string }
-  /** The call never reached the server; `refused`: nothing listens at its address. */
+  /** The call never reached the server. `refused` says that the connection was refused: nothing listens at the address. */
   | { readonly kind: 'notSent'; readonly reason: string; readonly refused: boolean };
 
-/** A caller's whole request was read. */
+/** A caller's request was read completely. */
 export interface RequestArrivedEvent {
   readonly kind: 'requestArrived';
   readonly requestId: number;
-  /** The caller's id of this try, for the logs. */
+  /** The caller's id of this attempt, for the logs. */
   readonly attemptId: string;
   readonly method: string;
   readonly host: string;
   readonly target: string;
-  /** Milliseconds that the caller will wait, or null when it does not say. */
+  /** How long the caller will wait for the response; null: not stated. */
   readonly callerPatience: Milliseconds | null;
   readonly key: Key | null;
   readonly fingerprint: RequestFingerprint;
-  /** It may have waited unread for this long: the event loop was behind. */
+  /** How long the request may have waited unread because the event loop was behind. */
   readonly readDelay: Milliseconds;
 }
 /** The caller closed its connection. */
@@ -141,95 +142,99 @@
   readonly kind: 'callerLeft';
   readonly requestId: number;
   readonly attemptId: string;
-  /** The request's arrival was told before. */
+  /** Whether the request's `requestArrived` event was delivered before. */
   readonly isTakenIn: boolean;
 }
-/** An attempt ended. */
+/** An attempt to send a request to a server ended. */
 export interface AttemptEndedEvent {
   readonly kind: 'attemptEnded';
   readonly requestId: number;
   readonly attempt: number;
   readonly result: AttemptResult;
 }
-/** What an answer says of its server's load: nothing, something that cannot be read, or a load. */
+/** The load that a response reports of its server; null: the response reports none. */
 export type LoadReading = ReportedLoad | UnreadableLoad | null;
+/** A load report that cannot be parsed. */
 export interface UnreadableLoad {
   readonly unreadable: string;
 }
 export type AttemptResult =
-  /** A whole answer, or the head of a long one, went to the caller. */
+  /** A complete response, or the head of a streamed one, was sent to the caller. */
   | { readonly kind: 'answered'; readonly status: number; readonly load: LoadReading }
-  /** The server did not run it, and says so. */
+  /** The server states that it did not execute the request. */
   | {
       readonly kind: 'rejected';
       readonly status: number;
       readonly misdirected: boolean;
       readonly load: LoadReading;
     }
-  /** It never left this daemon; `refused`: nothing listens at the server's address. */
+  /** The request never left this daemon. `refused` says that the connection was refused: nothing listens at the address. */
   | { readonly kind: 'notSent'; readonly reason: string; readonly refused: boolean }
-  /** It may have run. */
+  /** The request may have been executed. */
   | {
       readonly kind: 'lost';
       readonly reason: string;
-      /** Part of an answer went to the caller. */
+      /** Whether part of the response was sent to the caller. */
       readonly answerBegun: boolean;
-      /** The server's side ended the connection, as its process does when it crashes. */
+      /** Whether the server's side closed the connection, as happens when its process crashes. */
       readonly connectionEnded: boolean;
     };
 
-/** An answer of a server, to a request, a probe or a call, says something of the server itself. */
+/** A server's response to a request, probe or control call announces draining or a back-off. */
 export interface ServerNoticedEvent {
   readonly kind: 'serverNoticed';
   readonly server: ServerId;
   readonly notice: ServerNotice;
 }
 
-/** An answer of a server, to a request, a probe or a call, names a limit, or none. */
+/** A server's response to a request, probe or control call states the server's rate limit, or that there is none. */
 export interface ServerLimitReadEvent {
   readonly kind: 'serverLimitRead';
   readonly server: ServerId;
   readonly reading: LimitReading;
-  /** When the request or call was sent: the answer was made after it. */
+  /** When the request or call was sent: the response was produced later. */
   readonly sentAt: Milliseconds;
 }
 
-/** A message from another daemon. */
+/** A message of the parent or of a child arrived. */
 export interface PeerMessageEvent {
   readonly kind: 'peerMessage';
+  /** Number of the connection to the other daemon. */
   readonly link: number;
   readonly message: PeerMessage;
 }
-/** The connection of a child ended. */
+/** The connection of a child closed. */
 export interface PeerLeftEvent {
   readonly kind: 'peerLeft';
+  /** Number of the connection. */
   readonly link: number;
 }
-/** The connection to the parent is up. */
+/** The connection to the parent was established. */
 export interface ParentLinkOpenedEvent {
   readonly kind: 'parentLinkOpened';
 }
-/** The connection to the parent ended or could not be made. */
+/** The connection to the parent closed or could not be established. */
 export interface ParentLinkClosedEvent {
   readonly kind: 'parentLinkClosed';
   readonly address: string;
-  /** Nothing listens there. */
+  /** Whether the connection was refused: nothing listens at the address. */
   readonly refused: boolean;
 }
-/** The settings were read again; null: they are bad, and those in force stay. */
+/** The settings file was read again. */
 export interface SettingsReadEvent {
   readonly kind: 'settingsRead';
+  /** Null: the new settings are invalid, and the current ones stay in force. */
   readonly bounds: RouterBounds | null;
-  /** What is wrong with bad settings, a line each. */
+  /** Errors in invalid settings, one line each. */
   readonly faults: readonly string[];
 }
-/** An operator lets a request in quarantine go to servers again. */
+/** An operator lifted the quarantine of a request. */
 export interface QuarantineLiftedEvent {
   readonly kind: 'quarantineLifted';
-  /** The value of its fingerprint. */
+  /** The `value` of the request's fingerprint. */
   readonly fingerprint: string;
 }
-/** A planned stop begins. */
+/** A planned stop of this daemon begins. */
 export interface StoppingEvent {
   readonly kind: 'stopping';
 }
--- a/src/router/feed-lag-state.ts
+++ b/src/router/feed-lag-state.ts
@@ -1,20 +1,20 @@
-/** How far the feeds of a daemon are behind what other daemons know. */
+/** State for detecting that a daemon's feeds are behind those of other daemons. */
 import type { FeedName, Milliseconds } from './model/identifiers.js';
 
-/** The feeds of which daemons tell each other how far they know them. */
+/** The feeds whose versions daemons report to each other. */
 export type ComparedFeed = Exclude<FeedName, 'evacuations'>;
 
-/** How far one feed is behind what other daemons know. */
+/** How far one feed is behind the versions that other daemons report. */
 export interface FeedLag {
-  /** The newest version or revision that another daemon has told of. */
+  /** The newest version or revision that another daemon has reported. */
   newest: number;
-  /** Since when this daemon has been behind it, or null. */
+  /** Since when this daemon has been behind `newest`; null: it is not behind. */
   since: Milliseconds | null;
-  /** The list was read anew for this one already. */
+  /** The version or revision for which the list was last read again. */
   refreshedFor: number;
 }
 
-/** The lag of a daemon that has heard of nothing. */
+/** Creates the lag of a daemon that has received no reports. */
 export function createFeedLag(): FeedLag {
   return { newest: 0, since: null, refreshedFor: 0 };
 }
--- a/src/router/feed-lag.ts
+++ b/src/router/feed-lag.ts
@@ -1,17 +1,17 @@
 /**
- * Notices that other daemons know of something newer than this one does. A watch brings news to everybody at
- * about the same time; only one that does not bring it for a while may have lost its place.
+ * Detects that other daemons know newer versions of a feed than this one. Watches deliver a change to all daemons at about the
+ * same time, so only a watch that stays behind for a while may have lost its position.
  */
 import type { ComparedFeed } from './feed-lag-state.js';
 import type { Milliseconds } from './model/identifiers.js';
 import type { RouterContext } from './router-context.js';
 
-/** News that others have is waited for this long before the list is read anew. */
+/** How long a feed may be behind other daemons before its list is read again. */
 const LAG_PATIENCE: Milliseconds = 600;
 
-function noteFeed(context: RouterContext, feed: ComparedFeed, theirs: number, own: number): void {
+function noteFeed(context: RouterContext, feed: ComparedFeed, reported: number, own: number): void {
   const lag = context.state.feedLags[feed];
-  lag.newest = Math.max(lag.newest, theirs);
+  lag.newest = Math.max(lag.newest, reported);
   if (own >= lag.newest) {
     lag.since = null;
     return;
@@ -24,12 +24,12 @@
   }
 }
 
-/** Takes in what another daemon knows. */
+/** Compares the feed versions of another daemon with this daemon's own. */
 export function noteVersionsOf(
   context: RouterContext,
-  theirs: { readonly configurationVersion: number; readonly serversRevision: number },
+  reported: { readonly configurationVersion: number; readonly serversRevision: number },
 ): void {
   const { configuration, newestServerRevision } = context.state;
-  noteFeed(context, 'configuration', theirs.configurationVersion, configuration?.version ?? 0);
-  noteFeed(context, 'servers', theirs.serversRevision, newestServerRevision);
+  noteFeed(context, 'configuration', reported.configurationVersion, configuration?.version ?? 0);
+  noteFeed(context, 'servers', reported.serversRevision, newestServerRevision);
 }
--- a/src/router/log-events.ts
+++ b/src/router/log-events.ts
@@ -1,155 +1,199 @@
-/** The catalogue of a router daemon's log: every event with when it is written and the fields that decide. */
+/** The catalogue of a router daemon's log events: when each is written, and its fields. */
 
-/** What is said of an event in docs/operators/logs.md. */
+/** The description of an event in docs/operators/logs.md. */
 export interface LogEventDescription {
   readonly when: string;
   readonly fields: string;
 }
 
 const REQUEST_FIELDS =
-  'attempt_id, status, reason, route, service, key, versions (configuration, ownership, servers), attempts (server, outcome, ms), milliseconds; read_delay (ms that it may have waited unread before, if the loop was behind); fingerprint (the same for each try of one request, at any daemon) when the connection of an attempt ended before its answer';
+  'attempt_id, status, reason, route, service, key, versions (configuration, ownership, servers), attempts (server, outcome, ms), milliseconds; read_delay (ms that the request may have waited unread because the event loop was behind); fingerprint (the same for each attempt of one request, at any daemon) if the connection of an attempt closed before its response';
 
-/** Every event, in the order of the page. */
+/** All events, in the order of the page. */
 export const LOG_EVENTS = {
-  started: { when: 'a process begins', fields: 'life, addresses' },
-  stopping: { when: 'SIGTERM came', fields: 'requests under way, whether it led' },
-  stopped: { when: 'a planned stop ends', fields: 'milliseconds, unfinished requests' },
-  settings_reloaded: { when: 'SIGHUP, or the file changed', fields: 'bounds in force' },
-  settings_rejected: { when: 'the file is bad; the old settings stay', fields: 'faults, all of them' },
+  started: { when: 'the process starts', fields: 'life (incarnation number of the process), addresses' },
+  stopping: { when: 'SIGTERM was received', fields: 'requests (in progress), leader (whether this daemon is the leader)' },
+  stopped: { when: 'a planned stop ends', fields: 'milliseconds (duration of the stop), unfinished (requests still in progress)' },
+  settings_reloaded: {
+    when: 'the settings were read again after SIGHUP or a change of the file',
+    fields: 'the limits and durations now in force',
+  },
+  settings_rejected: {
+    when: 'the settings file is invalid: the old settings stay in force',
+    fields: 'faults (all errors found)',
+  },
   machine_resumed: {
-    when: 'the machine was suspended, or the time of day was set ahead where no other clock can be believed',
-    fields: "length (ms), counted (whether the daemon's clock has that time in it)",
+    when: 'the machine was suspended, or the time of day was set ahead where no other clock is reliable',
+    fields: "length (ms), counted (whether the daemon's clock advanced during the suspension)",
   },
   loop_behind: {
-    when: 'the event loop is 100 ms late or more: requests and ends of connections wait unread',
+    when: 'the event loop is at least 100 ms late: requests and closed connections are not handled meanwhile',
     fields: 'delay (ms)',
   },
   loop_on_time: {
-    when: 'it has not been 50 ms late for 1 s',
+    when: 'the event loop has not been 50 ms late for 1 s',
     fields:
-      'longest (ms, the greatest delay), lasted (ms), busiest (the kinds of events that took most time meanwhile, ms)',
+      'longest (ms, the greatest delay), lasted (ms), busiest (the kinds of events that took the most time meanwhile, ms)',
   },
   feed_lost: {
-    when: 'a list or watch of the store ends without an answer',
-    fields: 'feed, call (list or watch), waited (ms until it was given up), reason',
+    when: 'a list or watch call to the store ends without a response',
+    fields: 'feed, call (list or watch), waited (ms until the call was given up), reason',
+  },
+  feed_regained: { when: 'the store answers list or watch calls of the feed again', fields: 'feed' },
+  feed_behind: {
+    when: 'other daemons have known a newer version of a feed for 0.6 s: the feed is listed again',
+    fields: 'feed, own (version), newest (version at other daemons)',
   },
-  feed_regained: { when: 'the store answers the feed again', fields: 'feed' },
-  feed_behind: { when: 'other daemons know more for 0.6 s: read anew', fields: 'feed, own, newest' },
   news_old: {
-    when: 'nobody that this daemon hears has had an answer of the store for longer than changes may take',
-    fields: 'age (ms), follows (whether it asks the store itself)',
+    when: 'neither this daemon nor any that it receives updates from has had a response of the store for longer than a change may take',
+    fields: 'age (ms), follows (whether this daemon watches the store itself)',
+  },
+  news_fresh: {
+    when: 'this daemon, or one that it receives updates from, has had a response of the store again',
+    fields: 'as of news_old',
   },
-  news_fresh: { when: 'somebody has again', fields: 'the same' },
   configuration_applied: {
-    when: 'a newer configuration is in force',
-    fields: 'version, former, routes, source (store, parent, child), revision',
+    when: 'a newer configuration takes effect',
+    fields: 'version, former (version), routes (how many), source (store, parent, child), revision',
   },
-  servers_listed: { when: 'the first list of servers is known', fields: 'servers (how many), revision' },
-  server_added: { when: 'a server is listed', fields: 'server, service, address, zone, slots, revision' },
-  server_draining: { when: 'a server leaves: it gets no new work', fields: 'the same' },
-  server_ready: { when: 'a draining server takes work again', fields: 'the same' },
+  servers_listed: { when: 'the first list of servers was received', fields: 'servers (how many), revision' },
+  server_added: { when: 'a server is added to the list', fields: 'server, service, address, zone, slots, revision' },
+  server_draining: { when: 'a server is draining: it gets no new work', fields: 'as of server_added' },
+  server_ready: { when: 'a draining server accepts work again', fields: 'as of server_added' },
   server_says_leaving: {
-    when: 'the first answer of a server, to whatever, that says that it leaves: it gets new work for a short time only',
+    when: 'a response of a server states for the first time that it is draining: it gets new work for a short time only',
     fields:
-      'server, service, address, source (answer: to this daemon; or the daemon above or below that told), age (ms)',
+      'server, service, address, source (answer: a response to this daemon; parent, child: an update of that daemon), age (ms)',
   },
   server_asks_rest: {
-    when: 'a server rejects with a time for which it wants nothing from this daemon',
-    fields: 'server, service, milliseconds',
+    when: 'a server rejects a request and asks this daemon for a back-off',
+    fields: 'server, service, milliseconds (of the back-off)',
   },
   malformed_rest_request: {
-    when: 'the first time that a server of a service asks for a rest that cannot be read',
+    when: 'a server of a service asks for a back-off that cannot be parsed, logged once for each service',
     fields: 'server, service, found',
   },
   server_names_limit: {
-    when: 'the answers of a server begin to name a limit for what all daemons together may send it, or name another one',
+    when: 'responses of a server state a new or changed rate limit for the requests of all daemons together',
     fields:
-      'server, service, limit (requests a second), former, source (as of server_says_leaving), age (ms)',
+      'server, service, limit (requests a second), former (limit), source (as of server_says_leaving), age (ms)',
   },
   server_limit_ended: {
-    when: 'they cease to, or no answer has confirmed the limit for long',
-    fields: 'server, service, former, source (or unconfirmed: no answer has named it for long), age (ms)',
+    when: 'responses of a server no longer state a rate limit, or none has confirmed the limit for a long time',
+    fields: 'server, service, former (limit), source (as of server_says_leaving; unconfirmed: no response has stated the limit for a long time), age (ms)',
   },
   malformed_limit: {
-    when: 'the first time that a server of a service names a limit that cannot be read: the one in force stays',
+    when: 'a server of a service states a rate limit that cannot be parsed, logged once for each service: the current limit stays',
     fields: 'server, service, found',
   },
-  server_gone: { when: 'a server is no longer listed', fields: 'server, service, revision' },
+  server_gone: { when: 'a server is removed from the list', fields: 'server, service, revision' },
   zone_evacuated: {
-    when: 'operators evacuate a zone: its servers get nothing more',
+    when: 'operators evacuate a zone: its servers get no more requests',
     fields: 'zone, revision',
   },
-  zone_restored: { when: 'an evacuation is taken back', fields: 'zone, revision' },
-  server_silent: { when: 'a server leaves calls of the leader unanswered', fields: 'server, outcome' },
-  server_answers: { when: 'it answers again', fields: 'server, outcome' },
+  zone_restored: { when: 'operators end the evacuation of a zone', fields: 'zone, revision' },
+  server_silent: {
+    when: 'a server does not respond to control calls of the leader',
+    fields: 'server, outcome',
+  },
+  server_answers: {
+    when: 'a server responds to control calls of the leader again',
+    fields: 'server, outcome',
+  },
   server_crashed: {
-    when: 'a server ended a connection under requests of this daemon, and its process is gone',
+    when: 'a server closed a connection during requests of this daemon, and its process has ended',
     fields: 'server, service, address, evidence, requests (how many), fingerprints (up to 8)',
   },
   quarantine_begun: {
-    when: 'enough servers have ended under a request: it is kept from servers',
+    when: 'enough servers have crashed during a request: the request is no longer sent to servers',
     fields: 'fingerprint, servers',
   },
   quarantine_retested: {
-    when: 'the leader lets a request in quarantine through, since it comes very often and no such try has failed',
+    when: 'the leader lets a quarantined request through, since it arrives very often and no such retest has failed',
     fields: 'fingerprint',
   },
   quarantine_ended: {
-    when: 'it may be sent to servers again',
+    when: 'a quarantined request may be sent to servers again',
     fields: 'fingerprint, reason (a server answered it, an operator lifted it)',
   },
-  server_ended: { when: 'its address is in other hands', fields: 'server, address, successor' },
+  server_ended: {
+    when: 'another server has taken over the address or the name of a server that owned units',
+    fields: 'server, address, successor',
+  },
   leader_seen: {
-    when: "the leader's object names another leader",
+    when: "the leader's object in the store, or a daemon, names another leader",
     fields: 'term, leader, address, revision',
   },
-  leadership_claimed: { when: 'this daemon wants to lead', fields: 'term, former, revision' },
-  candidacy_dropped: { when: 'it does not', fields: 'term, reason' },
+  leadership_claimed: {
+    when: 'this daemon becomes a candidate for the leadership',
+    fields: 'term, former (leader), revision',
+  },
+  candidacy_dropped: { when: 'this daemon gives up its candidacy', fields: 'term, reason' },
   leadership_won: {
-    when: 'it leads',
-    fields: 'term, units, revision, waits_for (ms for leases of earlier leaders)',
-  },
-  leadership_lost: { when: 'it leads no more', fields: 'term, reason, found' },
-  relay_followed: { when: 'the leader named a relay to this daemon', fields: 'relay' },
-  relay_left: { when: 'the relay was lost: back to the leader', fields: 'relay, reason' },
-  child_joined: { when: 'a daemon reports to this one', fields: 'child, leads' },
-  child_left: { when: 'its connection ended', fields: 'child, daemons (at and below it)' },
+    when: 'this daemon becomes the leader',
+    fields: 'term, units (how many), revision, waits_for (ms until the leases of earlier leaders have expired)',
+  },
+  leadership_lost: {
+    when: 'this daemon is no longer the leader',
+    fields: 'term, reason, found (the leader according to the store)',
+  },
+  relay_followed: { when: 'the leader redirected this daemon to a relay', fields: 'relay' },
+  relay_left: { when: 'the connection to the relay was lost: this daemon reconnects to the leader', fields: 'relay, reason' },
+  child_joined: {
+    when: 'a daemon joins as a child and sends its first report',
+    fields: 'child, leads (whether this daemon is the leader)',
+  },
+  child_left: {
+    when: 'the connection of a child closed',
+    fields: 'child, daemons (in its subtree, including itself)',
+  },
   store_following: {
-    when: 'this daemon begins or ceases to list and watch the store itself',
-    fields: 'follows, servers (revision known so far)',
+    when: 'this daemon starts or stops listing and watching the store itself',
+    fields: 'follows, servers (revision up to which the list is known)',
   },
   assignment_written: {
-    when: 'the store has taken a new table',
-    fields: 'term, revision, changed (up to 20)',
-  },
-  unit_released: { when: 'the former owner gave a unit up', fields: 'unit, fence, former' },
-  release_waited_out: { when: 'its leases have run out', fields: 'unit, fence, former' },
-  unit_granted: { when: 'the owner took a unit', fields: 'unit, owner, fence' },
-  grant_rejected: { when: 'the owner refused a unit', fields: 'unit, owner, status' },
-  fence_raised: { when: 'the owner had seen a higher fence', fields: 'unit, owner, from, to' },
-  ownership_heard: { when: 'a newer view came from the leader', fields: 'term, sequence, units, granted' },
-  ownership_read: { when: 'a newer view came from the store', fields: 'term, revision, units' },
+    when: 'the store has accepted a new ownership table',
+    fields: 'term, revision, changed (units, up to 20)',
+  },
+  unit_released: { when: 'the former owner released a unit', fields: 'unit, fence, former (owner)' },
+  release_waited_out: {
+    when: 'the leases of the former owner of a unit have expired without a release',
+    fields: 'unit, fence, former (owner)',
+  },
+  unit_granted: { when: 'the owner accepted the grant of a unit', fields: 'unit, owner, fence' },
+  grant_rejected: { when: 'the owner rejected the grant of a unit', fields: 'unit, owner, status' },
+  fence_raised: {
+    when: 'the owner has seen a higher fence: the leader raises the fence of the unit',
+    fields: 'unit, owner, from, to',
+  },
+  ownership_heard: {
+    when: 'a newer ownership view was received from the leader',
+    fields: 'term, sequence, units, granted',
+  },
+  ownership_read: { when: 'a newer ownership view was read from the store', fields: 'term, revision, units' },
   view_is_old: {
-    when: 'cut off from the leader and the store, and owners turned requests away: not ready',
+    when: 'this daemon is cut off from the leader and the store, and owners rejected its requests: it is not ready',
+    fields: 'term, sequence',
+  },
+  view_is_fresh: {
+    when: 'this daemon hears the leader or the store again, so that its ownership view is no longer stale',
     fields: 'term, sequence',
   },
-  view_is_fresh: { when: 'news of ownership came again', fields: 'term, sequence' },
-  request_answered: { when: "a server's answer went to the caller", fields: REQUEST_FIELDS },
-  request_refused: { when: 'refused: it has not run and never will', fields: REQUEST_FIELDS },
-  request_failed: { when: 'given up: it may have run', fields: REQUEST_FIELDS },
-  request_broken_off: { when: 'a long answer broke off', fields: REQUEST_FIELDS },
+  request_answered: { when: "a server's response was sent to the caller", fields: REQUEST_FIELDS },
+  request_refused: { when: 'a request is refused: it was not executed and never will be', fields: REQUEST_FIELDS },
+  request_failed: { when: 'a request is given up: it may have been executed', fields: REQUEST_FIELDS },
+  request_broken_off: { when: 'a streamed response broke off', fields: REQUEST_FIELDS },
   caller_left: { when: 'the caller closed its connection', fields: REQUEST_FIELDS },
   malformed_load_report: {
-    when: 'the first time that a server of a service says of its load what cannot be read',
+    when: 'a server of a service sends a load report that cannot be parsed, logged once for each service',
     fields: 'server, service, found',
   },
   malformed_store_object: {
-    when: 'the first time that an object of the store cannot be read: it is passed over, and names no server',
+    when: 'an object of the store cannot be parsed, logged once for each object: it is skipped, and no server is taken from it',
     fields: 'kind, name',
   },
-  malformed_peer_message: { when: 'bytes of a peer cannot be read', fields: 'peer, detail' },
-  log_lines_dropped: { when: 'lines of the second before did not fit', fields: 'lines' },
+  malformed_peer_message: { when: 'bytes received from a peer cannot be parsed', fields: 'peer, detail' },
+  log_lines_dropped: { when: 'log lines of the previous second were dropped: they exceeded the limits of the log', fields: 'lines' },
 } as const satisfies Record<string, LogEventDescription>;
 
-/** The name of an event. */
 export type LogEventName = keyof typeof LOG_EVENTS;
--- a/src/router/model/configuration.ts
+++ b/src/router/model/configuration.ts
@@ -1,48 +1,48 @@
-/** The configuration in force: routes, services and limits towards callers. Immutable. */
+/** The routing configuration: routes, services and limits on callers' requests. Immutable. */
 import type { Milliseconds, ServiceName } from './identifiers.js';
 
-/** One part of a route's traffic. */
+/** A service that receives a share of a route's traffic. */
 export interface RouteTarget {
   readonly service: ServiceName;
-  /** Share relative to the other targets of the route. */
+  /** Traffic share relative to the other targets of the route. */
   readonly weight: number;
 }
 
-/** Which requests go where, and what may be done with them. */
+/** Maps matching requests to services and says how they may be handled. */
 export interface Route {
   readonly name: string;
   readonly host: string;
   /** Starts and ends with a slash. */
   readonly pathPrefix: string;
-  /** The request may run more than once without harm. */
+  /** Whether a request is idempotent: it may be executed more than once without harm. */
   readonly repeatable: boolean;
-  /** The longest that a request is held. */
+  /** The longest time that a request may take. */
   readonly timeout: Milliseconds;
-  /** An answer within this time is in time. */
+  /** Target latency: a response within this time counts as on time. */
   readonly latencyObjective: Milliseconds;
   /** 0 is the most urgent. */
   readonly priority: number;
-  /** Servers to which one request may be sent. */
+  /** Number of servers to which one request may be sent. */
   readonly maxAttempts: number;
   readonly targets: readonly RouteTarget[];
 }
 
-/** A group of servers that do the same work. */
+/** A group of servers that execute the same kinds of requests. */
 export interface Service {
   readonly name: ServiceName;
-  /** Each key is owned by one server. */
+  /** Whether each key is owned by exactly one server. */
   readonly keyed: boolean;
-  /** Connections that one server accepts from all daemons together. */
+  /** Number of connections that one server accepts from all daemons together. */
   readonly connectionLimit: number;
-  /** Where a server is asked whether it is well. */
+  /** Path of a server's health check. */
   readonly healthPath: string;
   /** How long a server is cold after its start, or after its zone was evacuated. */
   readonly coldTime: Milliseconds;
-  /** Requests a second that a cold server bears; 0: as many as a warm one. */
+  /** Requests a second that a cold server can handle; 0: as many as a warm one. */
   readonly coldRequestRate: number;
 }
 
-/** What a caller may send, and how long it may take. */
+/** Size limits and timeouts of callers' requests. */
 export interface CallerLimits {
   readonly headerBytes: number;
   readonly bodyBytes: number;
@@ -50,7 +50,6 @@
   readonly idleTimeout: Milliseconds;
 }
 
-/** A whole configuration. */
 export interface Configuration {
   readonly version: number;
   readonly routes: readonly Route[];
--- a/src/router/model/identifiers.ts
+++ b/src/router/model/identifiers.ts
@@ -1,19 +1,19 @@
-/** Names of things in the router, as plain strings and numbers with a type each. */
+/** Type aliases for identifiers and other plain values of the router. */
 
-/** The id of one life of a server: see `server-life.ts`. */
+/** The id of one incarnation of a server: see `server-incarnation.ts`. */
 export type ServerId = string;
-/** A service's name from the configuration. */
+/** The name of a service in the configuration. */
 export type ServiceName = string;
-/** A daemon's name from its settings. */
+/** The name of a daemon in its settings. */
 export type DaemonName = string;
 /** A key of a keyed service: a whole number from 0 to `LAST_KEY`. */
 export type Key = number;
-/** Fencing token of one unit. Only ever grows. */
+/** The fencing token of a unit. It never decreases. */
 export type Fence = number;
-/** Milliseconds on the steady clock of the process, or a length of time. */
+/** A time on the monotonic clock of the process, or a duration. */
 export type Milliseconds = number;
 
 /** The largest key. */
 export const LAST_KEY: Key = 65_535;
-/** What is listed and watched in the store. */
+/** The lists in the store that daemons watch. */
 export type FeedName = 'configuration' | 'servers' | 'evacuations';
--- a/src/router/model/request-fingerprint.ts
+++ b/src/router/model/request-fingerprint.ts
@@ -1,17 +1,17 @@
-/** What makes two requests the same one: all that a server sees of them, and equal for every try, at any daemon. */
+/** Fingerprints that identify a request by everything a server sees of it. They are equal for every attempt at any daemon. */
 
-/** Worked out when it is first asked for: most requests never need it. Digests tell nothing of what they are made of. */
+/** The fingerprint of a request, computed on first use since most requests never need it. Digests don't reveal their input. */
 export interface RequestFingerprint {
-  /** A digest of method, host, target, credentials and the length of the body: a first look that never reads the body. */
+  /** A digest of method, host, target, credentials and body length: a cheap first comparison that never reads the body. */
   readonly head: string;
-  /** The head, and a digest of the body. */
+  /** The head, followed by a digest of the body. */
   readonly value: string;
 }
 
-/** The head of a fingerprint's value. */
+/** Returns the head of a fingerprint's value. */
 export function headOf(value: string): string {
   return value.slice(0, HEAD_CHARACTERS);
 }
 
-/** Hexadecimal characters of a head, and of the digest of a body: 64 bits each. */
+/** Length of a head, and of a body's digest, in hexadecimal characters: 64 bits each. */
 export const HEAD_CHARACTERS = 16;
--- a/src/router/model/route-table.ts
+++ b/src/router/model/route-table.ts
@@ -1,14 +1,14 @@
-/** Finds the route of a request: by host, then by the longest prefix of the path. */
+/** Finds the route of a request by its host and the longest matching path prefix. */
 import type { Route } from './configuration.js';
 
-/** The host of a `Host` header: lower case, without a port. */
+/** Returns the host of a `Host` header in lower case, without the port. */
 export function hostName(header: string): string {
   const colon = header.lastIndexOf(':');
   const name = colon > header.lastIndexOf(']') && colon > 0 ? header.slice(0, colon) : header;
   return name.toLowerCase();
 }
 
-/** An index of routes, made once for each configuration. */
+/** An index of routes, built once for each configuration. */
 export class RouteTable {
   readonly #byHost = new Map<string, Map<string, Route>>();
 
@@ -22,7 +22,7 @@
   }
 
   /**
-   * The route of a request, or undefined when none matches.
+   * Returns the route of a request, or undefined when none matches.
    *
    * @example
    * table.match('media.example', '/feeds/7?from=3')?.name;
--- a/src/router/model/server-life.ts
+++ b/src/router/model/server-life.ts
@@ -1,33 +1,33 @@
 /**
- * One life of a server. A server may start again under the name that it had in the platform's list; it then holds and knows nothing of
- * before. Everywhere inside, a server's id is that of one life: a lease, a fence, a rest or a quarantine never passes from one to the next.
+ * Ids of server incarnations. A server may restart under its former name in the platform's list, without any of its former state.
+ * Inside the router a server id always identifies one incarnation: a lease, fence, back-off or quarantine never passes to the next.
  */
 import type { ServerId } from './identifiers.js';
 
-/** What a server is called in the platform's list, and to itself: another life may have the same name. */
+/** A server's name in the platform's list, which the server also uses itself. Several incarnations may have the same name. */
 export type InstanceName = string;
 
 const SEPARATOR = '#';
-/** What an id has after its instance's name. */
+/** Matches the part of a server id that follows the instance name. */
 const BIRTH = /#\d*$/;
 
 /**
- * The id of a life.
+ * Returns the id of an incarnation of a server.
  *
- * @param born a number that no other life of the instance has, such as the time of its start; null when it says none
+ * @param incarnation a number that is unique among the incarnations of the instance, such as the start time; null: none is stated
  *
  * @example
  * buildServerId('i-7', 12); // 'i-7#12'
  */
-export function buildServerId(instance: InstanceName, born: number | null): ServerId {
-  if (born !== null) {
-    return `${instance}${SEPARATOR}${born}`;
+export function buildServerId(instance: InstanceName, incarnation: number | null): ServerId {
+  if (incarnation !== null) {
+    return `${instance}${SEPARATOR}${incarnation}`;
   }
-  // A name that ends like a birth keeps its end.
+  // An extra separator protects a name that itself ends like an incarnation suffix.
   return BIRTH.test(instance) ? `${instance}${SEPARATOR}` : instance;
 }
 
-/** What the server of a life is called. */
+/** Returns the instance name of a server id. */
 export function instanceOf(server: ServerId): InstanceName {
   return server.replace(BIRTH, '');
 }
--- a/src/router/model/server-limit.ts
+++ b/src/router/model/server-limit.ts
@@ -1,11 +1,11 @@
-/** The limit that a server in need names in its answers: what it takes from all daemons together. */
+/** The rate limit that a strained server announces in its responses: the requests a second of all daemons together. */
 
 export type RequestsPerSecond = number;
 
-/** A limit that can't be read. */
+/** A rate limit that cannot be parsed. */
 export interface UnreadableLimit {
   readonly unreadable: string;
 }
 
-/** What an answer says of a limit: nothing, something that can't be read, or a limit. */
+/** The rate limit that a response states; null: the response states none. */
 export type LimitReading = RequestsPerSecond | UnreadableLimit | null;
--- a/src/router/model/server-notice.ts
+++ b/src/router/model/server-notice.ts
@@ -1,16 +1,17 @@
-/** What a server says of itself in an answer, beside its load: that it leaves, or that it wants rest from this daemon. */
+/** Announcements in a server's response other than its load: that it is draining, or that it requests a back-off. */
 import type { Milliseconds } from './identifiers.js';
 
-/** A time of rest that can't be read. */
+/** A requested back-off that cannot be parsed. */
 export interface UnreadableRest {
   readonly unreadable: string;
 }
-/** Nothing, something that can't be read, or for how long the server wants no request from this daemon. */
+/** How long a server wants no requests from the daemon that gets the response; null: the response requests no back-off. */
 export type RestReading = Milliseconds | UnreadableRest | null;
 
-/** Kept by whoever got the answer; an answer that says nothing of the kind has no notice. */
+/** The announcements in one response. A response without any has no notice. */
 export interface ServerNotice {
-  /** The server leaves: it wants no new work after a short time. */
+  /** Whether the server is draining: after a short time it wants no new work. */
   readonly leaving: boolean;
+  /** The requested back-off from this daemon. */
   readonly rest: RestReading;
 }
--- a/src/router/model/server.ts
+++ b/src/router/model/server.ts
@@ -1,21 +1,21 @@
-/** One life of a server, as the platform's list describes it. Immutable. */
+/** One incarnation of a server as the platform's list describes it. Immutable. */
 import type { Milliseconds, ServerId, ServiceName } from './identifiers.js';
 
-/** A server that takes requests, or is about to leave. */
+/** A server that accepts requests or is draining. */
 export interface ServerDescription {
   readonly id: ServerId;
   readonly service: ServiceName;
   /** `ip:port`. */
   readonly address: string;
   readonly zone: string;
-  /** Requests that it works on at once. */
+  /** Number of requests that the server processes at once. */
   readonly slots: number;
-  /** It gets no new work. */
+  /** Whether the server is draining: it gets no new work. */
   readonly draining: boolean;
-  /** How much longer it is slow after its start, when the entry was written. */
+  /** Remaining warm-up time at the moment when the entry was written. */
   readonly warmupLeft: Milliseconds;
-  /** Grows with every entry made in the list. */
+  /** Increases with every entry that is added to the list. */
   readonly listedAt: number;
-  /** Revision of the entry: rises with every change of it. */
+  /** Revision of the entry, which increases with every change of the entry. */
   readonly revision: number;
 }
--- a/src/router/ports.ts
+++ b/src/router/ports.ts
@@ -1,6 +1,6 @@
 /**
- * What a platform must offer for a router to run on it. An adapter implements these interfaces; nothing else
- * of the product knows which platform it is.
+ * Interfaces that a platform adapter implements so that a router can run on the platform. No other part of the program
+ * depends on a particular platform.
  */
 import type { ControlOutcome, ReadOutcome, StoredName, WriteOutcome } from './events.js';
 import type { ControlEffect } from './effects.js';
@@ -11,93 +11,94 @@
 import type { ServerNotice } from './model/server-notice.js';
 import type { ReportedLoad } from './request/server-load.js';
 
-/** The daemons' own objects, written by compare-and-swap. Calls never throw. */
+/** Stores the daemons' own objects, which are written by compare-and-swap. Calls never throw. */
 export interface ObjectStore {
-  /** Reads linearizably. */
+  /** Performs a linearizable read. */
   read(object: StoredName): Promise<ReadOutcome>;
-  /** Replaces a revision, or creates the object when it is null. */
+  /** Replaces the given revision of the object, or creates the object when `revision` is null. */
   write(object: StoredName, value: unknown, revision: number | null): Promise<WriteOutcome>;
 }
 
-/** One item of a list that is watched. */
+/** A change of one item in a watched list. */
 export interface FeedChange<Item> {
   readonly id: string;
-  /** Null: it is gone. */
+  /** Null: the item was removed. */
   readonly item: Item | null;
 }
-/** What a watch came to. */
+/** Result of a watch call. */
 export type WatchOutcome<Item> =
   | { readonly kind: 'changes'; readonly changes: readonly FeedChange<Item>[]; readonly revision: number }
-  /** The store no longer knows what came after the revision: list anew. */
+  /** The store no longer has the changes after the revision: the feed must be listed again. */
   | { readonly kind: 'forgotten' }
   | { readonly kind: 'failed'; readonly reason: string };
+/** Result of a list call. */
 export type ListOutcome<Item> =
   | { readonly kind: 'listed'; readonly items: readonly FeedChange<Item>[]; readonly revision: number }
   | { readonly kind: 'failed'; readonly reason: string };
 
-/** Ends a call whose outcome is not wanted any more: it is not told. */
+/** Cancels a call: its outcome is not reported. */
 export type EndCall = () => void;
 
-/** A list in the platform that can be watched. Calls never throw, and tell one outcome unless they are ended. */
+/** A list on the platform that can be watched. Calls never throw, and report exactly one outcome unless cancelled. */
 export interface FeedSource<Item> {
   readonly name: string;
   list(done: (outcome: ListOutcome<Item>) => void): EndCall;
-  /** Waits for changes after a revision. */
+  /** Waits up to `wait` for changes after a revision. */
   watch(revision: number, wait: Milliseconds, done: (outcome: WatchOutcome<Item>) => void): EndCall;
 }
 
-/** Everything that is followed in the platform's store. */
+/** The lists in the platform's store that daemons watch. */
 export interface FeedSources {
   readonly configuration: FeedSource<Configuration>;
   readonly servers: FeedSource<ServerDescription>;
-  /** Zones that operators evacuate, by name. */
+  /** Names of the evacuated zones. */
   readonly evacuations: FeedSource<string>;
 }
 
-/** Told what the answer to a call says of its server, before the outcome. */
+/** Receives what the response to a control call says of its server, before the call's outcome is reported. */
 export interface ControlListener {
   noticed(notice: ServerNotice): void;
-  /** Also of answers that name none, unless another server may have made them. */
+  /** Called also for responses without a limit, unless another server may have produced them. */
   limitRead(reading: LimitReading): void;
 }
 
-/** Grants, releases and probes at servers. Calls never throw. */
+/** Sends grants, releases and probes to servers. Calls never throw. */
 export interface ServerControl {
   call(effect: ControlEffect, listener: ControlListener): Promise<ControlOutcome>;
 }
 
-/** Names of headers, in lower case, and how their values are read. */
+/** Names of the request protocol's headers, in lower case, and parsers of their values. */
 export interface RequestProtocol {
-  /** Identifies one try of a caller; a server repeats it in its answer. */
+  /** Identifies one attempt of a caller; a server echoes it in its response. */
   readonly attemptId: string;
-  /** Milliseconds that are left. */
+  /** Milliseconds until the deadline of the request. */
   readonly timeLeft: string;
-  /** The server that must run the request; any other one rejects it. */
+  /** The server that must execute the request; any other server rejects it. */
   readonly expectedServer: string;
-  /** Present in an answer that says that the request has not run. */
+  /** Present in a response that states that the request was not executed. */
   readonly notRun: string;
-  /** A server's proof that an answer is its own. */
+  /** A server's proof that it produced the response itself. */
   readonly seal: string;
   readonly key: string;
-  /** Says who the caller is. */
+  /** Authenticates the caller. */
   readonly credentials: string;
   readonly load: string;
-  /** Reads the value of the load header; null when it is malformed. */
+  /** Parses the value of the load header; null: malformed. */
   parseLoad(value: string): ReportedLoad | null;
-  /** Reads what an answer with this status and these raw headers, or trailers, says of its server; null: nothing. */
+  /** Parses what a response's status and raw headers or trailers announce of the server's draining or back-off; null: nothing. */
   readNotice(status: number, rawHeaders: readonly string[]): ServerNotice | null;
-  /** Reads the limit that an answer with these raw headers names. */
+  /** Parses the rate limit in the raw headers of a response. */
   readLimit(rawHeaders: readonly string[]): LimitReading;
-  /** Path at which readiness is asked for. */
+  /** Path of the readiness check. */
   readonly readinessPath: string;
 }
 
-/** A platform, whole. */
+/** All interfaces of a platform. */
 export interface Platform {
   readonly store: ObjectStore;
   readonly feeds: FeedSources;
   readonly control: ServerControl;
   readonly protocol: RequestProtocol;
-  /** Ends every connection. */
+  /** Closes every connection. */
   close(): void;
 }
--- a/src/router/probe-server.ts
+++ b/src/router/probe-server.ts
@@ -1,17 +1,17 @@
-/** Asks a server at its health path whether it is there: by the answer it says of itself what other answers say. */
+/** Probes a server at its health path. The response reports draining, back-off and rate limit as any other response does. */
 import type { Milliseconds } from './model/identifiers.js';
 import type { ServerDescription } from './model/server.js';
 import type { RouterContext } from './router-context.js';
 
 /**
- * Sends a probe and returns the number of the call.
+ * Sends a probe to a server and returns the call's id.
  *
- * @param patience how long an answer is waited for
+ * @param responseTimeout how long to wait for the response
  */
 export function probeServer(
   context: RouterContext,
   { id, address, service }: ServerDescription,
-  patience: Milliseconds,
+  responseTimeout: Milliseconds,
 ): number {
   const { state } = context;
   state.counters.probes += 1;
@@ -24,7 +24,7 @@
     fence: 0,
     hold: 0,
     handover: null,
-    patience,
+    patience: responseTimeout,
     healthPath: state.configuration?.services.get(service)?.healthPath ?? '/',
   });
 }
--- a/src/router/reducer.ts
+++ b/src/router/reducer.ts
@@ -1,6 +1,6 @@
 /**
- * The one reducer over all events. Deterministic: the same events at the same times from the same start
- * give the same effects. The state is changed in place; effects come back as data.
+ * The reducer that handles every event of a daemon. It is deterministic: the same events at the same times from the same
+ * initial state produce the same effects. It changes the state in place and returns the effects as data.
  */
 import type { Effect } from './effects.js';
 import type {
@@ -59,7 +59,7 @@
 import { reportAtOnce, tickReports } from './tree/reports.js';
 
 /**
- * Takes one event in.
+ * Applies one event to the state and returns the effects to perform.
  *
  * @example
  * const effects = reduce(state, 20, { kind: 'tick' });
@@ -151,7 +151,7 @@
   tickRequests(context);
 }
 
-/** The connection to a parent is new: it may lack what this daemon has seen. */
+/** Sends a newly connected parent the reports and notices of this daemon, which the parent may not have. */
 function greetParent(context: RouterContext): void {
   reportAtOnce(context);
   noteNewParent(context);
--- a/src/router/resume.ts
+++ b/src/router/resume.ts
@@ -1,6 +1,6 @@
 /**
- * What a daemon still believes after its machine was suspended: nothing that others may have changed meanwhile. Where the clock has
- * counted the time, ages tell so by themselves; where only the time of day jumped, they don't.
+ * Invalidates what others may have changed while the machine was suspended. If the daemon's clock advanced during the suspension,
+ * the ages of known facts already show that they are stale; if only the time of day jumped, the ages don't show it.
  */
 import type {
   ObjectReadEvent,
@@ -16,7 +16,7 @@
 
 const STORE_FEEDS: readonly FeedName[] = ['configuration', 'servers'];
 
-/** Comes before anything else after a suspension. */
+/** Handles the end of a suspension, before any other event that follows it. */
 export function resume(context: RouterContext, { length, isCounted }: ResumedEvent): void {
   const { state } = context;
   state.counters.suspensions += 1;
@@ -29,19 +29,22 @@
 
 const SUSPENDED_MEANWHILE = 'the machine was suspended meanwhile';
 
-/** What a read says that began before a suspension: the object may have changed since. */
+/** Turns the outcome of a read that was sent before a suspension into a failure: the object may have changed since. */
 export function doubtRead({ state }: RouterContext, { sentAt, outcome }: ObjectReadEvent): ReadOutcome {
   return sentAt <= state.resumedAt ? { kind: 'failed', reason: SUSPENDED_MEANWHILE } : outcome;
 }
 
-/** What a write says that began before a suspension: it may have been overwritten since. A conflict stays one. */
+/**
+ * Turns the success of a write that was sent before a suspension into an unknown outcome: the object may have been overwritten
+ * since. A conflict remains a conflict.
+ */
 export function doubtWrite({ state }: RouterContext, { sentAt, outcome }: ObjectWrittenEvent): WriteOutcome {
   return sentAt <= state.resumedAt && outcome.kind === 'written'
     ? { kind: 'unknown', reason: SUSPENDED_MEANWHILE }
     : outcome;
 }
 
-/** A leader orders nothing until the store has confirmed it anew; a candidate begins anew. */
+/** Makes a leader issue no grants or releases until the store confirms its leadership again, and ends a candidacy. */
 function doubtLeadership(context: RouterContext): void {
   const { leadership } = context.state;
   if (leadership !== null) {
@@ -51,7 +54,7 @@
   dropCandidacy(context, 'the machine was suspended');
 }
 
-/** Watches that were open, and connections that they used, may be dead: what is followed is listed anew. */
+/** Lists every watched feed again: open watches and their connections may be dead. */
 function doubtNews(context: RouterContext): void {
   const { state } = context;
   const feeds = state.followsStore ? STORE_FEEDS : [];
--- a/src/router/router-bounds.ts
+++ b/src/router/router-bounds.ts
@@ -1,21 +1,22 @@
-/** The bounds of the deployment that the reducer keeps. */
+/** Limits and durations of a deployment that the reducer observes. */
 import type { Milliseconds } from './model/identifiers.js';
 import type { ColdStartLimits } from './request/cold-admission.js';
 import type { RetryBudgetLimits } from './request/retry-budget.js';
 
-/** The bounds of the deployment that the reducer keeps. */
+/** Limits and durations of a deployment that the reducer observes. */
 export interface RouterBounds {
   readonly retries: RetryBudgetLimits;
-  /** A change of the configuration is in force within this time. */
+  /** Time within which a new configuration takes effect. */
   readonly configuration: Milliseconds;
+  /** Time after which a draining server gets no new work. */
   readonly drain: Milliseconds;
-  /** Daemons that have been connected for this long know what the others have seen. */
+  /** Daemons that have been connected for this long know the updates of the others. */
   readonly contact: Milliseconds;
   readonly longestLease: Milliseconds;
-  /** Servers of an evacuated zone get nothing after this time; null: zones are not evacuated here. */
+  /** Time after which servers of an evacuated zone get no requests; null: zones are not evacuated in this deployment. */
   readonly evacuation: Milliseconds | null;
-  /** Null: nothing bounds what cold servers get. */
+  /** Limits of the requests to cold servers; null: unlimited. */
   readonly coldStart: ColdStartLimits | null;
-  /** In whole cores of usual speed. */
+  /** Processing capacity of this daemon, in cores of standard speed. */
   readonly processorPower: number;
 }
--- a/src/router/router-context.ts
+++ b/src/router/router-context.ts
@@ -1,4 +1,4 @@
-/** Handed to every part of the reducer. Valid for one event only. */
+/** Collects the effects of one event; every part of the reducer gets it. A context is valid for one event only. */
 import type { ControlEffect, Effect } from './effects.js';
 import type { LogEventName } from './log-events.js';
 import type { Milliseconds } from './model/identifiers.js';
@@ -14,17 +14,16 @@
     this.now = now;
   }
 
-  /** Adds an effect. */
   emit(effect: Effect): void {
     this.effects.push(effect);
   }
 
-  /** Adds a line of the log. */
+  /** Adds a log line to the effects. */
   log(event: LogEventName, fields: Record<string, unknown>, level: 'info' | 'warn' = 'info'): void {
     this.effects.push({ kind: 'log', level, event, fields });
   }
 
-  /** Calls a server and returns the number of the call. */
+  /** Adds a control call to a server and returns the call's id. */
   control(call: Omit<ControlEffect, 'kind' | 'callId'>): number {
     const callId = this.state.nextCallId;
     this.state.nextCallId += 1;
--- a/src/router/router-settings.ts
+++ b/src/router/router-settings.ts
@@ -1,4 +1,4 @@
-/** The settings of a router daemon: a YAML or JSON file, checked by a schema before anything starts. */
+/** Reads a router daemon's settings from a YAML or JSON file and validates them against a schema before anything starts. */
 import { err, ok, type Result } from 'neverthrow';
 import { readFileSync } from 'node:fs';
 import { parse } from 'yaml';
@@ -7,11 +7,11 @@
 import { SettingsError } from '../errors.js';
 
 const MILLISECONDS_PER_SECOND = 1_000;
-/** Long enough for word of anything to pass through the tree after the loss of the leader. */
+/** Long enough for any update to pass through the propagation tree after the loss of the leader. */
 const DEFAULT_CONTACT_MILLISECONDS = 3_000;
 const NAME = z.string().min(1);
 const ADDRESS = z.string().regex(/^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$/, 'allowed: <ip number>:<port>');
-/** Written in seconds, kept in milliseconds. */
+/** A duration that the file gives in seconds, converted to milliseconds. */
 const SECONDS = z
   .number()
   .min(0)
@@ -20,49 +20,49 @@
 
 const settingsSchema = z.object({
   daemon: NAME,
-  /** The whole deployment starts for the first time. */
+  /** Whether the whole deployment starts for the first time. */
   firstStart: z.boolean().default(false),
   zone: NAME,
   listen: z.object({
-    /** For callers. */
+    /** Address for callers' requests. */
     http: ADDRESS,
-    /** Answers whether this daemon takes callers. */
+    /** Address of the readiness check: whether this daemon accepts callers' requests. */
     readiness: ADDRESS,
-    /** Metrics and state, for operators. */
+    /** Address of metrics and state, for operators. */
     admin: ADDRESS,
-    /** For the other daemons. */
+    /** Address for the other daemons. */
     peers: ADDRESS,
   }),
   store: z.object({
     address: ADDRESS,
-    /** How long the store remembers changes for watches. */
+    /** How long the store retains changes for watches. */
     history: SECONDS,
   }),
   limits: z.object({ memoryMegabytes: z.number().positive() }),
   processor: z
     .object({
-      /** Share of a core that the process may use. */
+      /** Fraction of a core that the process may use. */
       share: z.number().positive(),
-      /** How many times as fast as usual that core is. */
+      /** Speed of that core relative to a standard one. */
       speed: z.number().positive(),
     })
     .default({ share: 1, speed: 1 }),
   timing: z.object({
-    /** A planned stop ends within this time. */
+    /** Longest duration of a planned stop. */
     stopGrace: SECONDS,
-    /** A leaving server gets no new work after this time. */
+    /** Time after which a draining server gets no new work. */
     drain: SECONDS,
-    /** Daemons that have been connected for this long know what the others have seen. */
+    /** Daemons that have been connected for this long know the updates of the others. */
     contact: SECONDS.default(DEFAULT_CONTACT_MILLISECONDS),
-    /** A configuration is in force within this time. */
+    /** Time within which a new configuration takes effect. */
     configuration: SECONDS,
-    /** The longest lease that a server takes. */
+    /** The longest lease that a server accepts. */
     longestLease: SECONDS,
-    /** Servers of a zone that operators evacuate get nothing after this time; null: zones are not evacuated. */
+    /** Time after which servers of an evacuated zone get no requests; null: zones are not evacuated. */
     evacuation: SECONDS.nullable().default(null),
     retryWindow: SECONDS,
   }),
-  /** What a server may get in a second while it is cold: `factor` times what it bears, and `slack`. Null: as much as a warm one. */
+  /** Requests a second that a cold server may get: `factor` times its cold request rate, plus `slack`. Null: as a warm one. */
   coldStart: z
     .object({ factor: z.number().min(0).max(100).nullable(), slack: z.number().min(0).nullable() })
     .default({ factor: null, slack: null })
@@ -70,10 +70,10 @@
   retries: z.object({ ratio: z.number().min(0).max(10), extra: z.number().min(0) }),
 });
 
-/** Checked settings; lengths of time in milliseconds. */
+/** Validated settings. Durations are in milliseconds. */
 export type RouterSettings = z.infer<typeof settingsSchema>;
 
-/** Checks settings that were read. The error lists every fault at once. Unknown fields are ignored. */
+/** Validates parsed settings. The error lists all violations at once. Unknown fields are ignored. */
 export function checkRouterSettings(value: unknown, source: string): Result<RouterSettings, SettingsError> {
   const parsed = settingsSchema.safeParse(value);
   return parsed.success
@@ -81,7 +81,7 @@
     : err(new SettingsError('check settings', source, describeFaults(parsed.error, value)));
 }
 
-/** Reads and checks a settings file. */
+/** Reads and validates a settings file. */
 export function readRouterSettings(path: string): Result<RouterSettings, SettingsError> {
   try {
     return checkRouterSettings(parse(readFileSync(path, 'utf8')), path);
--- a/src/router/router-state.ts
+++ b/src/router/router-state.ts
@@ -1,4 +1,4 @@
-/** All that one daemon knows. The reducer changes it in place; nothing else does. */
+/** The complete state of one daemon. Only the reducer changes it, and in place. */
 import { SeededRandom } from '../core/random.js';
 import { createRouterCounters, type RouterCounters } from './counters.js';
 import { type ComparedFeed, createFeedLag, type FeedLag } from './feed-lag-state.js';
@@ -34,33 +34,33 @@
 import type { RouterBounds } from './router-bounds.js';
 import { TargetRotation } from './request/target-rotation.js';
 
-/** Who this daemon is. */
+/** Identifies this daemon and the current run of its process. */
 export interface Identity {
   readonly daemon: DaemonName;
   readonly zone: string;
-  /** `ip:port` for the other daemons. */
+  /** The `ip:port` at which other daemons connect. */
   readonly peerAddress: string;
-  /** Drawn at the start of the process. */
+  /** Random incarnation number, drawn when the process starts. */
   readonly life: number;
-  /** The whole deployment starts for the first time: no callers wait yet. */
+  /** Whether the whole deployment starts for the first time: no callers are waiting yet. */
   readonly isFirstStart?: boolean;
 }
 
-/** A listed server and what this daemon has seen of it. */
+/** A listed server with this daemon's observations of it. */
 export interface KnownServer {
   server: ServerDescription;
   readonly load: ServerLoad;
-  /** It is cold, as far as this daemon knows, until then. */
+  /** When the server's warm-up ends, as far as this daemon knows. */
   coldUntil: Milliseconds;
-  /** When it may get requests of this daemon while it is cold. */
+  /** Spaces out this daemon's requests to the server while it is cold. */
   readonly coldTurns: Turns;
-  /** When this daemon learned of it. */
+  /** When this daemon first saw the server's entry. */
   readonly knownSince: Milliseconds;
-  /** The rest that it wants from this daemon. */
+  /** The back-off that the server has requested from this daemon. */
   readonly rest: ServerRest;
-  /** Its places for this daemon while it names a limit. */
+  /** This daemon's permits for the server while the server announces a rate limit. */
   readonly permits: Permits;
-  /** When this daemon learned that it leaves, by its entry or by an answer, whichever came first; null: it doesn't. */
+  /** When this daemon learned from the entry or a response, whichever came first, that the server is draining; null: it isn't. */
   drainingSince: Milliseconds | null;
 }
 
@@ -70,67 +70,67 @@
   readonly random: SeededRandom;
   readonly counters: RouterCounters;
   configuration: Configuration | null;
-  /** Of the store, as it had the configuration; 0 before the first one. */
+  /** Store revision at which the configuration was read; 0 before the first one. */
   configurationRevision: number;
   routes: RouteTable;
-  /** Of the store when the servers were read last; null before the first list. */
+  /** Store revision up to which the server list is known; null before the first list. */
   serversRevision: number | null;
-  /** The highest revision of a server's entry: the same at daemons that know the same entries. */
+  /** The highest revision of any server entry. Daemons that know the same entries have the same value. */
   newestServerRevision: number;
   readonly serverHistory: ServerHistory;
   readonly evacuations: ZoneEvacuations;
-  /** This daemon lists and watches the store itself. */
+  /** Whether this daemon lists and watches the store itself. */
   followsStore: boolean;
-  /** Since when that is so, or is not. */
+  /** When `followsStore` last changed. */
   followsStoreSince: Milliseconds;
-  /** It follows evacuations there, too. */
+  /** Whether this daemon also lists and watches zone evacuations in the store. */
   followsEvacuations: boolean;
   readonly tree: TreeState;
   readonly feedLags: Readonly<Record<ComparedFeed, FeedLag>>;
   readonly feeds: Readonly<Record<FeedName, FeedHealth>>;
-  /** Listed servers, each in the life that its entry tells of. */
+  /** Listed servers by id, each in the incarnation that its entry describes. */
   readonly servers: Map<ServerId, KnownServer>;
-  /** The life that the list has under each name. */
+  /** The listed incarnation of each server name. */
   readonly lives: Map<InstanceName, ServerId>;
   readonly serversByService: Map<ServiceName, Map<ServerId, KnownServer>>;
-  /** What answers said of servers that leave. */
+  /** Servers that are draining according to their responses. */
   readonly leaving: LeavingServers;
-  /** Limits that answers named for what servers get of all daemons. */
+  /** Rate limits that servers announce in their responses for the requests of all daemons together. */
   readonly limits: ServerLimits;
   readonly limitUpdates: LimitUpdates;
   readonly permitContact: PermitContact;
   readonly profiles: Map<ServiceName, ServiceProfile>;
-  /** Daemons that share the retry budget, as last heard. */
+  /** The last known number of daemons, which share the retry budget. */
   daemons: number;
   view: OwnershipView;
   readonly doubtedUnits: DoubtedUnits;
   readonly election: ElectionState;
   readonly isolation: Isolation;
-  /** Set while this daemon leads. */
+  /** Non-null while this daemon is the leader. */
   leadership: Leadership | null;
   readonly requests: Map<number, ActiveRequest>;
-  /** Held until the first configuration is known, by number. */
+  /** Requests that wait for the first configuration, by request id. */
   readonly early: Map<number, EarlyRequest>;
   readonly budgets: Map<ServiceName, RetryBudget>;
   readonly rotation: TargetRotation;
-  /** Keys that callers asked for, here and below, since the last report. */
+  /** Requests for each key since the last report, at this daemon and its subtree. */
   readonly keyTallies: Map<ServiceName, KeyTally>;
-  /** Under which requests servers have ended. */
+  /** Requests during which servers have crashed. */
   readonly crashes: CrashTable;
   nextCrashExpiryAt: Milliseconds;
   readonly serverEnds: ServerEnds;
-  /** What the store has of the quarantines, while this daemon leads. */
+  /** The quarantines as the store has them, maintained while this daemon is the leader. */
   readonly storedQuarantines: StoredQuarantines;
-  /** When the machine was last suspended: nothing that was confirmed before it may be taken as still true. */
+  /** When the machine last resumed from a suspension: anything confirmed earlier may be stale. */
   resumedAt: Milliseconds;
   nextCallId: number;
   stopping: boolean;
 }
 
-/** Assumed before the leader has said how many daemons there are. */
+/** Number of daemons assumed until the leader reports how many there are. */
 const FIRST_DAEMONS = 16;
 
-/** The state of a daemon that has just started. */
+/** Creates the state of a daemon that has just started. */
 export function createRouterState(identity: Identity, bounds: RouterBounds, seed: number): RouterState {
   return {
     identity,
@@ -179,7 +179,7 @@
   };
 }
 
-/** When this daemon last had word of the leader or of the store. */
+/** Returns when this daemon last received a message of the leader or a response of the store. */
 function heardAt({ leadership, election, isolation, feeds }: RouterState): Milliseconds {
   return Math.max(
     leadership?.confirmedAt ?? Number.NEGATIVE_INFINITY,
@@ -189,7 +189,7 @@
   );
 }
 
-/** Why this daemon should get no callers yet, or null when it should. */
+/** Returns why this daemon is not ready for callers' requests, or null when it is ready. */
 export function missingForCallers(state: RouterState): string | null {
   if (state.stopping) {
     return 'a planned stop is under way';
--- a/src/router/server-directory.ts
+++ b/src/router/server-directory.ts
@@ -1,4 +1,4 @@
-/** Takes configurations and the list of servers in. Neither ever goes back. */
+/** Applies configurations and updates of the server list. Neither is ever replaced by an older version. */
 import type { ConfigurationEvent, ServersListedEvent } from './events.js';
 import type { LogEventName } from './log-events.js';
 import type { Milliseconds, ServerId, ServiceName } from './model/identifiers.js';
@@ -14,7 +14,7 @@
 import type { RouterContext } from './router-context.js';
 import type { KnownServer } from './router-state.js';
 
-/** A configuration was read. Returns whether it is newer than the one in force. */
+/** Applies a configuration if it is newer than the current one. Returns whether it is. */
 export function receiveConfiguration(
   context: RouterContext,
   event: ConfigurationEvent,
@@ -35,7 +35,7 @@
   return true;
 }
 
-/** Whether a change says something new. An entry that was written before the one that is known says nothing, whatever its life. */
+/** Returns whether a change is new. An entry that is older than the known one is not, whichever incarnation it describes. */
 function differs({ state }: RouterContext, { id, server }: ServerChange): boolean {
   const life = state.lives.get(id);
   const known = life === undefined ? undefined : state.servers.get(life)?.server;
@@ -48,7 +48,7 @@
   );
 }
 
-/** All servers were listed. Returns what differs from what was known; null when more is known already. */
+/** Applies a complete server list. Returns the entries that differ; null: a later revision is known already. */
 export function receiveServersListed(
   context: RouterContext,
   { servers, revision }: ServersListedEvent,
@@ -60,7 +60,7 @@
   return receiveServerChanges(context, changes, revision);
 }
 
-/** Takes in changes up to a revision. Returns those that differ from what was known; null when more is known already. */
+/** Applies server changes up to a revision. Returns those that are new; null: a later revision is known already. */
 export function receiveServerChanges(
   context: RouterContext,
   changes: readonly ServerChange[],
@@ -84,13 +84,13 @@
     }
   }
   if (isFirstList) {
-    // One line for all: hundreds of servers are listed at each start.
+    // One log line for all servers: hundreds of servers are listed at each start.
     context.log('servers_listed', { servers: effective.length, revision });
   }
   return effective;
 }
 
-/** The change that an entry makes. */
+/** Returns the change that adds or updates a server's entry. */
 export function changeTo(server: ServerDescription): ServerChange {
   return { id: instanceOf(server.id), server };
 }
@@ -152,7 +152,7 @@
     noteChange(context, server.draining ? 'server_draining' : 'server_ready', server, revision);
   }
   if (server.revision !== known.server.revision) {
-    // Later entries know better; one that still tells of an earlier moment is taken as if it were new.
+    // A later entry is more accurate. Its remaining warm-up counts from now, although the entry may be older.
     known.coldUntil = context.now + server.warmupLeft;
   }
   known.server = server;
@@ -160,7 +160,7 @@
     known.drainingSince === null || !server.draining ? drainingSince(context, server) : known.drainingSince;
 }
 
-/** Since when a server leaves that this daemon has just heard of, or whose entry has changed. */
+/** Returns since when a server is draining that is new to this daemon or whose entry has changed; null: it is not draining. */
 function drainingSince(
   { state, now }: RouterContext,
   { id, draining }: ServerDescription,
