--- a/test/router/support/bounds.ts
+++ b/test/router/support/bounds.ts
@@ -1,4 +1,4 @@
-/** Bounds of a deployment for tests of single daemons. */
+/** Bounds of a deployment for tests. */
 import type { RouterBounds } from '../../../src/router/router-bounds.js';
 
 export const BOUNDS: RouterBounds = {
@@ -11,5 +11,5 @@
   coldStart: { factor: 1.5, slack: 8 },
   processorPower: 1,
 };
-/** The same with a retry budget that no test spends. */
+/** The same bounds with a retry budget that no test exhausts. */
 export const BOUNDS_WITH_RETRIES: RouterBounds = { ...BOUNDS, retries: { ratio: 0.2, extra: 200 } };
--- a/test/router/support/limit-day.ts
+++ b/test/router/support/limit-day.ts
@@ -1,46 +1,46 @@
-/** Days in virtual time on which servers name limits: who asks for what, and what the servers get. */
+/** Simulation of servers that announce rate limits: sends callers' requests and counts what reaches each server. */
 import { SeededRandom } from '../../../src/core/random.js';
 import type { ModelServer } from './model-server.js';
 import { PLAIN, RequestTraffic, type Send } from './request-traffic.js';
 import { type Daemon, RouterWorld, SERVICE } from './router-world.js';
 
-/** Everything is placed and quiet by then. */
+/** Virtual time in milliseconds at which ownership is settled. */
 export const SETTLED = 6_000;
 const FIRST_REQUEST = 2_000;
-/** Limits are held over any time of this length, with this much room for what can't be known in time. */
+/** Limits are checked over each window of this many milliseconds, with a tolerance for what daemons can't know in time. */
 const WINDOW = 4_000;
 const SECOND = 1_000;
 const ROOM_FACTOR = 1.5;
 const ROOM = 5;
-/** Limits are held from this long after they were first named. */
+/** Limits are checked from this many milliseconds after the server first announced one. */
 const CONTACT = 3_000;
-/** What a daemon had on its way when it was told doesn't count. */
+/** Requests that a daemon had in flight when it first received the limit, within this many milliseconds, don't count. */
 const ON_ITS_WAY = 500;
 
-/** A day's size and load. */
+/** Size and load of a simulation. */
 export interface LimitDayOptions {
   readonly seed: number;
   readonly daemons: number;
   readonly servers: number;
   readonly plainServers?: number;
-  /** Requests a second of all daemons together. */
+  /** Requests a second to all daemons together. */
   readonly demand: number;
-  /** Daemons that get them; by default all. */
+  /** Number of daemons that receive requests; by default all. */
   readonly asked?: number;
-  /** Requests are for these keys only; by default for all that are watched. */
+  /** Keys of the requests; by default all checked keys. */
   readonly keys?: readonly number[];
-  /** The service without keys is asked. */
+  /** Whether requests go to the balanced service instead of the keyed one. */
   readonly isPlain?: boolean;
 }
 
 const WATCHED = Array.from({ length: 128 }, (_, index) => index * 512 + 7);
 
-/** Requests that a server with a limit may get in any window. */
+/** Returns how many requests a server with the given rate limit may receive in any window. */
 export function allowed(limit: number): number {
   return Math.floor(((limit * WINDOW) / SECOND) * ROOM_FACTOR + ROOM);
 }
 
-/** The most sends in any window. */
+/** Returns the largest number of requests in any window. */
 export function busiestWindow(sends: readonly Send[]): number {
   const times = sends.map(({ at }) => at).sort((left, right) => left - right);
   let busiest = 0;
@@ -59,7 +59,7 @@
   readonly traffic: RequestTraffic;
   readonly #options: LimitDayOptions;
   readonly #random: SeededRandom;
-  readonly #namedAt = new Map<ModelServer, number>();
+  readonly #limitedSince = new Map<ModelServer, number>();
 
   constructor(options: LimitDayOptions) {
     const { seed, daemons, servers, plainServers = 0, asked = daemons } = options;
@@ -70,19 +70,19 @@
     const interval = (asked * SECOND) / options.demand;
     this.world.daemons.slice(0, asked).forEach((daemon) => {
       this.world.clock.after(FIRST_REQUEST + this.#random.fraction() * interval, () =>
-        this.#ask(daemon, interval),
+        this.#sendRequests(daemon, interval),
       );
     });
     this.world.clock.runUntil(SETTLED);
   }
 
-  #ask(daemon: Daemon, interval: number): void {
+  #sendRequests(daemon: Daemon, interval: number): void {
     const { keys = WATCHED, isPlain = false } = this.#options;
     const key = keys[Math.floor(this.#random.fraction() * keys.length)] as number;
     this.traffic.ask(daemon, { name: `k${key}`, route: isPlain ? PLAIN : SERVICE, key });
-    // Callers come by chance, not in step.
+    // Exponentially distributed gaps: callers are independent of each other.
     const gap = -Math.log(1 - this.#random.fraction()) * interval;
-    this.world.clock.after(gap, () => this.#ask(daemon, interval));
+    this.world.clock.after(gap, () => this.#sendRequests(daemon, interval));
   }
 
   get now(): number {
@@ -93,32 +93,32 @@
     this.world.clock.runUntil(this.now + length);
   }
 
-  /** A server names a limit from now on; null: it names none. */
+  /** Sets the rate limit that a server announces from now on; null: none. */
   limit(server: ModelServer, rate: number | null): void {
     server.limit = rate;
-    if (rate !== null && !this.#namedAt.has(server)) {
-      this.#namedAt.set(server, this.now);
+    if (rate !== null && !this.#limitedSince.has(server)) {
+      this.#limitedSince.set(server, this.now);
     }
   }
 
-  /** Requests that reached a server since a moment. */
+  /** Returns the requests that have reached a server since the given time. */
   sendsTo(server: ModelServer, since = 0): Send[] {
     return this.traffic.sends.filter(({ server: id, at }) => id === server.id && at >= since);
   }
 
-  /** The most requests in any window that counts, from daemons that had been told. */
+  /** Returns the largest number of requests in any checked window from daemons that had received the limit. */
   counted(server: ModelServer): number {
-    const told = this.traffic.toldLimits.get(server.id);
-    const namedAt = this.#namedAt.get(server) ?? Number.POSITIVE_INFINITY;
-    const sends = this.sendsTo(server, namedAt + CONTACT - WINDOW).filter(
-      ({ daemon, at }) => at >= (told?.get(daemon) ?? Number.POSITIVE_INFINITY) + ON_ITS_WAY,
+    const limitReceivedAt = this.traffic.toldLimits.get(server.id);
+    const limitedSince = this.#limitedSince.get(server) ?? Number.POSITIVE_INFINITY;
+    const sends = this.sendsTo(server, limitedSince + CONTACT - WINDOW).filter(
+      ({ daemon, at }) => at >= (limitReceivedAt?.get(daemon) ?? Number.POSITIVE_INFINITY) + ON_ITS_WAY,
     );
     return busiestWindow(sends);
   }
 
-  /** Share of the requests since a moment that were answered. */
+  /** Returns the share of responses since the given time that a server answered with status 200. */
   served(since: number): number {
-    const told = this.traffic.told.filter(({ at }) => at >= since);
-    return told.filter(({ status }) => status === 200).length / told.length;
+    const responses = this.traffic.told.filter(({ at }) => at >= since);
+    return responses.filter(({ status }) => status === 200).length / responses.length;
   }
 }
--- a/test/router/support/machine.ts
+++ b/test/router/support/machine.ts
@@ -1,15 +1,15 @@
-/** The clocks and timers of one daemon's machine in virtual time; its suspensions make the steady clock lag behind. */
+/** Simulates the clocks and timers of one daemon's machine. Suspensions stop its monotonic clock. */
 import { DaemonClock } from '../../../src/clock/daemon-clock.js';
 import type { Timers } from '../../../src/router-runtime/timers.js';
 import type { VirtualClock } from './virtual-clock.js';
 
-/** In milliseconds: what the boot-time clock of a sound machine tells. */
+/** Resolution of the boot-time clock of an ordinary machine, in milliseconds. */
 const BOOT_STEP = 10;
 
-/** What a boot-time clock shows at a moment. */
+/** Returns the reading of a boot-time clock at a virtual time. */
 export type BootClock = (now: number) => number;
 
-/** Of a sound machine. */
+/** The boot-time clock of an ordinary machine. */
 export const SOUND_BOOT_CLOCK: BootClock = (now) => Math.floor(now / BOOT_STEP) * BOOT_STEP;
 
 export class Machine {
@@ -20,12 +20,12 @@
     this.#time = time;
   }
 
-  /** From now on, until a moment. */
+  /** Suspends the machine from now until the given virtual time. */
   suspend(until: number): void {
     this.#suspensions.push({ from: this.#time.now, until });
   }
 
-  /** The clock of a process that starts now. */
+  /** Creates the clock of a process that starts now. */
   createClock(bootClock: BootClock): DaemonClock {
     return new DaemonClock({
       steady: () => this.#steady(),
@@ -34,21 +34,21 @@
     });
   }
 
-  /** Timers run on the steady clock: a suspension makes them late. */
+  /** Creates timers that run on the monotonic clock: a suspension delays them. */
   createTimers(clock: () => DaemonClock): Timers {
     return {
       now: () => clock().now(),
       after: (delay, action) => {
         let cancelled = false;
         const dueAt = this.#steady() + delay;
-        const look = (): void => {
+        const check = (): void => {
           if (!cancelled && this.#steady() >= dueAt) {
             action();
           } else if (!cancelled) {
-            this.#time.after(dueAt - this.#steady(), look);
+            this.#time.after(dueAt - this.#steady(), check);
           }
         };
-        this.#time.after(delay, look);
+        this.#time.after(delay, check);
         return () => {
           cancelled = true;
         };
@@ -58,7 +58,7 @@
 
   #steady(): number {
     const { now } = this.#time;
-    const lost = this.#suspensions.map(({ from, until }) => Math.min(now, until) - from);
-    return now - lost.reduce((sum, length) => sum + length, 0);
+    const suspended = this.#suspensions.map(({ from, until }) => Math.min(now, until) - from);
+    return now - suspended.reduce((sum, length) => sum + length, 0);
   }
 }
--- a/test/router/support/model-feed.ts
+++ b/test/router/support/model-feed.ts
@@ -1,6 +1,6 @@
 /**
- * Objects of one kind in the model store, listed and watched in virtual time. A call that the store gets while it is away
- * is never answered, also when the store is back: whoever made it waits until its own patience ends.
+ * Objects of one kind in the simulated store, which daemons list and watch. A call that arrives while the store is down is
+ * never answered, even after the store has recovered: the caller waits until its own timeout.
  */
 import type { Milliseconds } from '../../../src/router/model/identifiers.js';
 import type {
@@ -13,10 +13,10 @@
 import type { ModelStore } from './model-store.js';
 import type { VirtualClock } from './virtual-clock.js';
 
-/** As the platform's adapter has it: until a list, and until a watch after its wait, is given up. */
+/** Timeouts as in the platform's adapter: of a list call, and of a watch call after its wait. */
 const LIST_PATIENCE: Milliseconds = 1_500;
 const WATCH_SLACK: Milliseconds = 600;
-/** A change reaches whoever watches within this time. */
+/** The longest time until watchers are notified of a change. */
 const LONGEST_NOTICE: Milliseconds = 12;
 const NOTICE_RETRY: Milliseconds = 50;
 
@@ -24,7 +24,7 @@
   readonly revision: number;
 }
 
-/** One call of a daemon. Tells its outcome once, and none when it was ended. */
+/** One call of a daemon. It reports its outcome once, and none after it was cancelled. */
 class ModelCall<Outcome> {
   #open = true;
   readonly #done: (outcome: Outcome) => void;
@@ -44,7 +44,7 @@
     }
   }
 
-  end(): void {
+  cancel(): void {
     this.#open = false;
   }
 }
@@ -57,7 +57,7 @@
 
 export class ModelFeed<Item> {
   readonly name: string;
-  /** Calls that were made. */
+  /** Numbers of list and watch calls so far. */
   lists = 0;
   watches = 0;
   readonly #clock: VirtualClock;
@@ -65,10 +65,10 @@
   readonly #items = new Map<string, Item>();
   #changes: Change<Item>[] = [];
   #watchers: Watcher<Item>[] = [];
-  #quietUntil = Number.NEGATIVE_INFINITY;
-  /** Of what came up to this revision, nothing is remembered. */
-  #forgotten = 0;
-  #noticeIsPlanned = false;
+  #notificationsPausedUntil = Number.NEGATIVE_INFINITY;
+  /** Changes up to this revision are no longer in the history. */
+  #compactedRevision = 0;
+  #isNotificationScheduled = false;
 
   constructor(name: string, clock: VirtualClock, store: ModelStore) {
     this.name = name;
@@ -76,7 +76,7 @@
     this.#store = store;
   }
 
-  /** Puts an object, or removes it when the item is null. Returns the store's revision of that. */
+  /** Writes an object, or removes it when the item is null. Returns the store's revision of the change. */
   put(id: string, item: Item | null): number {
     const revision = this.#store.nextRevision();
     if (item === null) {
@@ -89,24 +89,24 @@
     return revision;
   }
 
-  /** Connections on which watches wait go silent: they end with nobody's word. */
+  /** Makes the connections of all waiting watches unresponsive: the watches end without a response. */
   silenceWatches(): void {
     this.#watchers = [];
   }
 
-  /** Watches hear nothing for a time; then the history is dropped, and they are cut. */
-  forgetHistory(quiet: Milliseconds): void {
-    this.#quietUntil = this.#clock.now + quiet;
-    this.#clock.after(quiet, () => {
+  /** Stops notifications for a time, then drops the history and breaks all waiting watches. */
+  forgetHistory(pause: Milliseconds): void {
+    this.#notificationsPausedUntil = this.#clock.now + pause;
+    this.#clock.after(pause, () => {
       this.#changes = [];
-      this.#forgotten = this.#store.revision;
-      const cut = this.#watchers;
+      this.#compactedRevision = this.#store.revision;
+      const watchers = this.#watchers;
       this.#watchers = [];
-      cut.forEach(({ call }) => call.finish({ kind: 'failed', reason: 'cut' }));
+      watchers.forEach(({ call }) => call.finish({ kind: 'failed', reason: 'cut' }));
     });
   }
 
-  /** The feed as a daemon reaches it. */
+  /** Creates a daemon's access to the feed. */
   sourceFor(isReachable: () => boolean): FeedSource<Item> {
     return {
       name: this.name,
@@ -125,7 +125,7 @@
         call.finish({ kind: 'listed', items, revision: this.#store.revision });
       });
     }
-    return () => call.end();
+    return () => call.cancel();
   }
 
   #watch(
@@ -138,13 +138,13 @@
     const call = new ModelCall(done);
     this.#clock.after(wait + WATCH_SLACK, () => call.finish({ kind: 'failed', reason: 'no answer' }));
     if (!this.#store.isDown && isReachable()) {
-      this.#open({ revision, call, isReachable }, wait);
+      this.#startWatch({ revision, call, isReachable }, wait);
     }
-    return () => call.end();
+    return () => call.cancel();
   }
 
-  #open(watcher: Watcher<Item>, wait: Milliseconds): void {
-    if (watcher.revision < this.#forgotten) {
+  #startWatch(watcher: Watcher<Item>, wait: Milliseconds): void {
+    if (watcher.revision < this.#compactedRevision) {
       this.#clock.after(this.#store.latency(), () => watcher.call.finish({ kind: 'forgotten' }));
       return;
     }
@@ -152,44 +152,44 @@
     this.#watchers.push(watcher);
     this.#clock.after(this.#store.latency(), () => this.#notify());
     this.#clock.after(wait, () => {
-      if (this.#watchers.includes(watcher) && this.#canHear(watcher)) {
-        this.#take(watcher);
+      if (this.#watchers.includes(watcher) && this.#canNotify(watcher)) {
+        this.#removeWatcher(watcher);
         watcher.call.finish({ kind: 'changes', changes: [], revision: this.#store.revision });
       }
     });
   }
 
-  #take(watcher: Watcher<Item>): void {
+  #removeWatcher(watcher: Watcher<Item>): void {
     this.#watchers = this.#watchers.filter((other) => other !== watcher);
   }
 
-  #canHear({ isReachable }: Watcher<Item>): boolean {
+  #canNotify({ isReachable }: Watcher<Item>): boolean {
     return !this.#store.isDown && isReachable();
   }
 
   #notify(): void {
-    if (this.#clock.now < this.#quietUntil) {
+    if (this.#clock.now < this.#notificationsPausedUntil) {
       return;
     }
     for (const watcher of this.#watchers.filter(({ call }) => call.isOpen)) {
       const changes = this.#changes.filter((change) => change.revision > watcher.revision);
-      if (changes.length > 0 && this.#canHear(watcher)) {
-        this.#take(watcher);
+      if (changes.length > 0 && this.#canNotify(watcher)) {
+        this.#removeWatcher(watcher);
         const { revision } = this.#store;
-        const notice = 2 + this.#store.fraction() * (LONGEST_NOTICE - 2);
-        this.#clock.after(notice, () => watcher.call.finish({ kind: 'changes', changes, revision }));
+        const delay = 2 + this.#store.fraction() * (LONGEST_NOTICE - 2);
+        this.#clock.after(delay, () => watcher.call.finish({ kind: 'changes', changes, revision }));
       } else if (changes.length > 0) {
         this.#notifyLater();
       }
     }
   }
 
-  /** Somebody who waits can't be reached now: a watch from before an outage is answered after it. */
+  /** Retries while a watcher is unreachable: a watch from before an outage is answered after it. */
   #notifyLater(): void {
-    if (!this.#noticeIsPlanned) {
-      this.#noticeIsPlanned = true;
+    if (!this.#isNotificationScheduled) {
+      this.#isNotificationScheduled = true;
       this.#clock.after(NOTICE_RETRY, () => {
-        this.#noticeIsPlanned = false;
+        this.#isNotificationScheduled = false;
         this.#notify();
       });
     }
--- a/test/router/support/model-server.ts
+++ b/test/router/support/model-server.ts
@@ -1,11 +1,11 @@
-/** Servers that hold keys by grants, as a model in virtual time, and the checker for at most one owner. */
+/** Simulated servers that hold keys by grants, and a checker that each key has at most one owner. */
 import type { SeededRandom } from '../../../src/core/random.js';
 import type { ControlOutcome } from '../../../src/router/events.js';
 import { instanceOf } from '../../../src/router/model/server-life.js';
 import type { ControlEffect } from '../../../src/router/effects.js';
 import type { VirtualClock } from './virtual-clock.js';
 
-/** The keys that are looked at; units may be cut anywhere. */
+/** The keys that the checker examines: a sample of all keys, since units may begin and end at any key. */
 export const WATCHED_KEYS: readonly number[] = Array.from({ length: 128 }, (_, index) => index * 512 + 7);
 
 interface Holding {
@@ -13,7 +13,7 @@
   readonly until: number;
 }
 
-/** Looks at every grant that a server takes. */
+/** Checks every grant that a server accepts against the holdings and fences of the other servers. */
 export class OwnerChecker {
   readonly violations: string[] = [];
   readonly #servers: ModelServer[] = [];
@@ -46,18 +46,18 @@
 
 export class ModelServer {
   alive = true;
-  /** Its process has ended and its machine is there: connections are refused. */
+  /** Whether connections are refused: the process has ended and its machine is still running. */
   refuses = false;
-  /** It refuses calls that are for a server of another name. */
+  /** Whether the server rejects calls that are meant for a server of another name. */
   checksName = true;
-  /** Daemons reach it. */
+  /** Whether daemons can reach the server. */
   reachable = true;
-  /** Requests a second that it names as its limit in each answer; null: it names none. */
+  /** Rate limit in requests a second that the server states in each response; null: none. */
   limit: number | null = null;
   readonly holdings = new Map<number, Holding>();
-  /** Grants that it refused since it had seen a higher fence. */
+  /** Grants that the server rejected because it had seen a higher fence. */
   readonly refused: ControlEffect[] = [];
-  readonly #seen = new Map<number, number>();
+  readonly #highestFences = new Map<number, number>();
 
   constructor(
     readonly id: string,
@@ -68,7 +68,7 @@
     checker.add(this);
   }
 
-  /** Whether it would run a request for a key now. */
+  /** Returns whether the server would execute a request for a key now. */
   holds(key: number): boolean {
     const holding = this.holdings.get(key);
     return this.alive && holding !== undefined && holding.until > this.clock.now;
@@ -82,16 +82,16 @@
     if (effect.action === 'release') {
       for (const key of keys) {
         this.holdings.delete(key);
-        this.#seen.set(key, Math.max(this.#seen.get(key) ?? 0, effect.fence));
+        this.#highestFences.set(key, Math.max(this.#highestFences.get(key) ?? 0, effect.fence));
       }
       return { kind: 'accepted', handover: 'h' };
     }
-    if (keys.some((key) => (this.#seen.get(key) ?? 0) > effect.fence)) {
+    if (keys.some((key) => (this.#highestFences.get(key) ?? 0) > effect.fence)) {
       this.refused.push(effect);
       return { kind: 'higherFence' };
     }
     for (const key of keys) {
-      this.#seen.set(key, effect.fence);
+      this.#highestFences.set(key, effect.fence);
       this.checker.taken(this, key, effect.fence, this.clock.now);
       this.holdings.set(key, { fence: effect.fence, until: this.clock.now + effect.hold * 1.02 });
     }
@@ -99,19 +99,19 @@
   }
 }
 
-/** How calls to servers go wrong. */
+/** Faults of calls to servers. */
 export interface CallTroubles {
-  /** Share of calls that get no answer and are carried out 2 to 12 s later. */
+  /** Share of calls that get no response and are executed 2 to 12 s later. */
   lateShare: number;
 }
 
-/** Carries a call to a server and its answer back. */
+/** Delivers a call to a server and the response to the daemon. */
 export function carryCall(
   clock: VirtualClock,
   random: SeededRandom,
   server: ModelServer | undefined,
   effect: ControlEffect,
-  troubles: CallTroubles,
+  faults: CallTroubles,
   answer: (outcome: ControlOutcome) => void,
 ): void {
   const unanswered: ControlOutcome = { kind: 'unanswered', reason: 'no answer' };
@@ -126,14 +126,14 @@
     clock.after(1, () => answer({ kind: 'otherInstance' }));
     return;
   }
-  const carryOut = (): ControlOutcome => (server.alive ? server.take(effect) : unanswered);
-  if (effect.action !== 'probe' && random.fraction() < troubles.lateShare) {
-    clock.after(2_000 + random.fraction() * 10_000, carryOut);
+  const execute = (): ControlOutcome => (server.alive ? server.take(effect) : unanswered);
+  if (effect.action !== 'probe' && random.fraction() < faults.lateShare) {
+    clock.after(2_000 + random.fraction() * 10_000, execute);
     clock.after(effect.patience, () => answer(unanswered));
     return;
   }
   clock.after(0.5 + random.fraction() * 2, () => {
-    const outcome = carryOut();
+    const outcome = execute();
     const work = effect.action === 'release' ? random.fraction() * 120 : 0;
     clock.after(1 + work, () => answer(server.alive && server.reachable ? outcome : unanswered));
   });
--- a/test/router/support/model-store.ts
+++ b/test/router/support/model-store.ts
@@ -1,4 +1,4 @@
-/** The platform's store as a model in virtual time: revisions, compare-and-swap, and its bad days. */
+/** Simulates the platform's store: revisions, compare-and-swap, and faults. */
 import type { ReadOutcome, StoredName, WriteOutcome } from '../../../src/router/events.js';
 import type { SeededRandom } from '../../../src/core/random.js';
 import type { VirtualClock } from './virtual-clock.js';
@@ -11,13 +11,13 @@
 const CALL_TIMEOUT = 1_500;
 
 export class ModelStore {
-  /** No call is answered before this time. */
+  /** The store answers no call before this time. */
   downUntil = 0;
-  /** Calls take this many times as long. */
+  /** Factor by which calls take longer than usual. */
   slowness = 1;
-  /** Share of writes whose answer is lost; some of these are done seconds later. */
+  /** Share of writes whose response is lost; some of these writes are applied seconds later. */
   lostShare = 0;
-  /** Reads so far. */
+  /** Number of reads so far. */
   reads = 0;
   readonly #objects = new Map<StoredName, StoredValue>();
   readonly #clock: VirtualClock;
@@ -29,12 +29,12 @@
     this.#random = random;
   }
 
-  /** Of the last change of anything. */
+  /** Revision of the last change of any object. */
   get revision(): number {
     return this.#revision;
   }
 
-  /** Counts a change of something that is kept elsewhere: all kinds share one counter. */
+  /** Assigns a revision to a change that is kept outside of this class: all kinds of objects share one counter. */
   nextRevision(): number {
     this.#revision += 1;
     return this.#revision;
@@ -78,8 +78,8 @@
       return;
     }
     if (this.#random.fraction() < this.lostShare) {
-      const late = this.#random.fraction() < 0.5 ? 1_000 + this.#random.fraction() * 5_000 : this.latency();
-      this.#clock.after(late, () => this.#apply(object, value, revision));
+      const delay = this.#random.fraction() < 0.5 ? 1_000 + this.#random.fraction() * 5_000 : this.latency();
+      this.#clock.after(delay, () => this.#apply(object, value, revision));
       this.#clock.after(CALL_TIMEOUT, () => answer(unknown));
       return;
     }
--- a/test/router/support/request-traffic.ts
+++ b/test/router/support/request-traffic.ts
@@ -1,6 +1,6 @@
 /**
- * Callers' requests in the virtual world: servers run them slot by slot, and end under those that are marked as deadly.
- * What reaches servers and what callers are told is kept for the checks.
+ * Simulates callers' requests: servers process them in slots and crash during those that are marked as crashing. Records the
+ * requests that reach servers and the responses to callers for the tests' checks.
  */
 import type { Effect, ForwardEffect } from '../../../src/router/effects.js';
 import type { AttemptResult } from '../../../src/router/events.js';
@@ -15,19 +15,19 @@
   SERVICE as KEYED,
 } from './router-world.js';
 
-/** A service whose requests any server can run. */
+/** A service whose requests any of its servers can execute. */
 export const PLAIN = 'logs';
 const NETWORK_DELAY = 1;
 const CONNECT_TIMEOUT = 700;
 const SLOTS = 2;
-/** A server that has more waiting sheds requests. */
+/** A server sheds a request that would wait longer than this many milliseconds for a slot. */
 const LONGEST_WAIT = 300;
 const SHORTEST_WORK = 30;
 const LONGEST_WORK = 120;
-/** A crashed server is back, as a new life at the same address, after this long and up to half a second more. */
+/** A crashed server restarts as a new one at its address after this many milliseconds and up to half a second more. */
 const RESTART = 3_000;
 const RESTART_SPREAD = 500;
-/** The entry of a server that has crashed stays for three of its heartbeats. */
+/** The entry of a crashed server stays in the list for three heartbeat intervals: this many milliseconds. */
 const ENTRY_LAPSE = 4_500;
 const PATIENCE = 800;
 
@@ -44,7 +44,7 @@
   };
 }
 
-/** A keyed service and a plain one, each with a route that may be repeated and one that may not. */
+/** A keyed and a balanced service, each with a route for repeatable and one for non-repeatable requests. */
 export const CONFIGURATION: Configuration = {
   ...KEYED_CONFIGURATION,
   version: 2,
@@ -55,10 +55,10 @@
   ]),
 };
 
-/** A request as callers repeat it: the same name means the same method, path, caller and body. */
+/** A request that callers may repeat: the same name means the same method, path, caller and body. */
 export interface NamedRequest {
   readonly name: string;
-  /** Of the route. */
+  /** The name of the route. */
   readonly route: string;
   readonly key: number;
 }
@@ -71,7 +71,7 @@
   readonly at: number;
 }
 
-/** What a caller was told. */
+/** A response to a caller. */
 export interface Told {
   readonly name: string;
   readonly status: number;
@@ -79,7 +79,7 @@
   readonly at: number;
 }
 
-/** How long a caller waited for the daemon's own answer. */
+/** How long a caller waited for a response of the daemon's own, in milliseconds. */
 export interface Wait {
   readonly status: number;
   readonly waited: number;
@@ -91,41 +91,41 @@
   readonly daemon: Daemon;
   readonly life: number;
   readonly effect: ForwardEffect;
-  /** By the daemon's clock. */
+  /** Send time by the daemon's clock. */
   readonly sentAt: number;
   isOver: boolean;
 }
 
 export class RequestTraffic implements RequestCarrier {
-  /** Names of requests under which each server ends that runs them. */
+  /** Names of requests that crash every server that executes them. */
   readonly deadly = new Set<string>();
-  /** Servers that reject every request and ask for so much rest, in ms. */
+  /** Servers that reject every request and ask for a back-off, with its duration in milliseconds. */
   readonly resting = new Map<ModelServer, number>();
   readonly sends: Send[] = [];
   readonly crashes: { readonly name: string; readonly server: string; readonly at: number }[] = [];
-  /** When each copy of a request was lost with a server that ended. */
+  /** Copies of requests that were lost with a server that ended, and when. */
   readonly lostCopies: { readonly name: string; readonly at: number }[] = [];
   readonly told: Told[] = [];
-  /** When each daemon first had an answer that named the server's limit, by server and daemon. */
+  /** When each daemon first received a response that stated the server's rate limit, by server and daemon. */
   readonly toldLimits = new Map<string, Map<Daemon, number>>();
   readonly waits: Wait[] = [];
-  readonly #world: RouterWorld;
-  readonly #askedAt = new Map<string, number>();
+  readonly #simulation: RouterWorld;
+  readonly #arrivedAt = new Map<string, number>();
   readonly #names = new Map<string, string>();
   readonly #running = new Map<ModelServer, RunningAttempt[]>();
   readonly #slotFreeAt = new Map<ModelServer, number[]>();
   #nextRequest = 1;
 
-  constructor(world: RouterWorld, plainServers: number) {
-    this.#world = world;
-    world.requests = this;
-    world.configure(CONFIGURATION);
+  constructor(simulation: RouterWorld, plainServers: number) {
+    this.#simulation = simulation;
+    simulation.requests = this;
+    simulation.configure(CONFIGURATION);
     for (let index = 0; index < plainServers; index += 1) {
-      world.addServer(`10.0.3.${index}:80`, PLAIN);
+      simulation.addServer(`10.0.3.${index}:80`, PLAIN);
     }
   }
 
-  /** A caller's try at a daemon. */
+  /** Sends one attempt of a caller's request to a daemon. */
   ask(daemon: Daemon, { name, route, key }: NamedRequest): void {
     if (!daemon.alive) {
       return;
@@ -133,8 +133,8 @@
     const requestId = this.#nextRequest;
     this.#nextRequest += 1;
     this.#names.set(this.#keyOf(daemon, requestId), name);
-    this.#askedAt.set(this.#keyOf(daemon, requestId), this.#world.clock.now);
-    this.#world.deliver(daemon, {
+    this.#arrivedAt.set(this.#keyOf(daemon, requestId), this.#simulation.clock.now);
+    this.#simulation.deliver(daemon, {
       kind: 'requestArrived',
       requestId,
       attemptId: `a-${requestId}`,
@@ -149,7 +149,7 @@
   }
 
   perform(daemon: Daemon, effect: Effect): void {
-    const { now } = this.#world.clock;
+    const { now } = this.#simulation.clock;
     if (effect.kind === 'forward') {
       this.#forward(daemon, effect);
     } else if (effect.kind === 'cancel') {
@@ -157,32 +157,32 @@
     } else if (effect.kind === 'answer') {
       const name = this.#names.get(this.#keyOf(daemon, effect.requestId)) ?? '';
       this.told.push({ name, status: effect.status, reason: effect.reason, at: now });
-      const waited = now - (this.#askedAt.get(this.#keyOf(daemon, effect.requestId)) ?? now);
+      const waited = now - (this.#arrivedAt.get(this.#keyOf(daemon, effect.requestId)) ?? now);
       this.waits.push({ status: effect.status, waited, retryAfter: effect.retryAfter });
     }
   }
 
-  /** A server's process ends, whatever it was running. */
+  /** Ends a server's process, with all requests that it was processing. */
   crash(server: ModelServer, comesBack = true): void {
-    const { clock } = this.#world;
+    const { clock } = this.#simulation;
     server.alive = false;
     server.refuses = true;
     this.reset(server);
-    clock.after(ENTRY_LAPSE, () => this.#world.unlist(server.id));
+    clock.after(ENTRY_LAPSE, () => this.#simulation.unlist(server.id));
     if (comesBack) {
       const service = server.address.startsWith('10.0.3.') ? PLAIN : KEYED;
-      const delay = RESTART + this.#world.random.fraction() * RESTART_SPREAD;
-      clock.after(delay, () => this.#world.addServer(server.address, service));
+      const delay = RESTART + this.#simulation.random.fraction() * RESTART_SPREAD;
+      clock.after(delay, () => this.#simulation.addServer(server.address, service));
     }
   }
 
-  /** Every connection to a server is reset; what it was running is lost. */
+  /** Resets every connection to a server; the requests that it was processing are lost. */
   reset(server: ModelServer): void {
     const lost = this.#running.get(server) ?? [];
     this.#running.delete(server);
     this.#slotFreeAt.delete(server);
     for (const attempt of lost) {
-      this.lostCopies.push({ name: attempt.name, at: this.#world.clock.now });
+      this.lostCopies.push({ name: attempt.name, at: this.#simulation.clock.now });
       const reason = 'other side closed';
       this.#end(attempt, { kind: 'lost', reason, answerBegun: false, connectionEnded: true });
     }
@@ -196,18 +196,18 @@
     const name = this.#names.get(this.#keyOf(daemon, effect.requestId)) ?? '';
     const sentAt = daemon.clock.now();
     const attempt: RunningAttempt = { name, daemon, life: daemon.life, effect, sentAt, isOver: false };
-    const server = this.#world.servers.findLast(({ address }) => address === effect.address);
+    const server = this.#simulation.servers.findLast(({ address }) => address === effect.address);
     if (server === undefined || !server.reachable || (!server.alive && !server.refuses)) {
       this.#endAfter(CONNECT_TIMEOUT, attempt, { kind: 'notSent', reason: 'timeout', refused: false });
     } else if (!server.alive) {
       this.#endAfter(NETWORK_DELAY, attempt, { kind: 'notSent', reason: 'ECONNREFUSED', refused: true });
     } else {
-      this.#world.clock.after(NETWORK_DELAY, () => this.#arrive(server, attempt));
+      this.#simulation.clock.after(NETWORK_DELAY, () => this.#arrive(server, attempt));
     }
   }
 
   #arrive(server: ModelServer, attempt: RunningAttempt): void {
-    const { clock, random } = this.#world;
+    const { clock, random } = this.#simulation;
     const { effect, daemon, name } = attempt;
     if (!server.alive) {
       this.#end(attempt, { kind: 'lost', reason: 'reset', answerBegun: false, connectionEnded: true });
@@ -246,10 +246,10 @@
 
   #reject(server: ModelServer, attempt: RunningAttempt, rest: number): void {
     const { daemon, life, effect } = attempt;
-    this.#tellLimit(server, attempt, server.limit);
+    this.#reportLimit(server, attempt, server.limit);
     if (daemon.life === life) {
       const notice = { leaving: false, rest };
-      this.#world.deliver(daemon, { kind: 'serverNoticed', server: effect.server, notice });
+      this.#simulation.deliver(daemon, { kind: 'serverNoticed', server: effect.server, notice });
     }
     this.#end(attempt, { kind: 'rejected', status: 503, misdirected: false, load: null });
   }
@@ -259,7 +259,7 @@
       return;
     }
     if (this.deadly.has(attempt.name)) {
-      this.crashes.push({ name: attempt.name, server: server.id, at: this.#world.clock.now });
+      this.crashes.push({ name: attempt.name, server: server.id, at: this.#simulation.clock.now });
       this.crash(server);
       return;
     }
@@ -269,14 +269,14 @@
       others.filter((other) => other !== attempt),
     );
     const { name } = attempt;
-    this.told.push({ name, status: 200, reason: '', at: this.#world.clock.now });
+    this.told.push({ name, status: 200, reason: '', at: this.#simulation.clock.now });
     const { limit } = server;
-    this.#world.clock.after(NETWORK_DELAY, () => this.#tellLimit(server, attempt, limit));
+    this.#simulation.clock.after(NETWORK_DELAY, () => this.#reportLimit(server, attempt, limit));
     this.#endAfter(NETWORK_DELAY, attempt, { kind: 'answered', status: 200, load: null });
   }
 
-  /** An answer names the limit that its server had when it was made, or none. */
-  #tellLimit(server: ModelServer, attempt: RunningAttempt, limit: number | null): void {
+  /** Reports the rate limit in a response: the one that the server had when it produced the response, or none. */
+  #reportLimit(server: ModelServer, attempt: RunningAttempt, limit: number | null): void {
     const { daemon, life, effect, sentAt } = attempt;
     if (daemon.life !== life || attempt.isOver || (limit === null && !effect.isLimited)) {
       return;
@@ -284,9 +284,9 @@
     if (limit !== null) {
       const told = this.toldLimits.get(server.id) ?? new Map<Daemon, number>();
       this.toldLimits.set(server.id, told);
-      told.set(daemon, Math.min(told.get(daemon) ?? Number.POSITIVE_INFINITY, this.#world.clock.now));
+      told.set(daemon, Math.min(told.get(daemon) ?? Number.POSITIVE_INFINITY, this.#simulation.clock.now));
     }
-    this.#world.deliver(daemon, {
+    this.#simulation.deliver(daemon, {
       kind: 'serverLimitRead',
       server: effect.server,
       reading: limit,
@@ -306,10 +306,10 @@
   }
 
   #endAfter(delay: number, attempt: RunningAttempt, result: AttemptResult): void {
-    this.#world.clock.after(delay, () => this.#end(attempt, result));
+    this.#simulation.clock.after(delay, () => this.#end(attempt, result));
   }
 
-  /** The daemon learns how an attempt ended, unless it has given it up or is another life by now. */
+  /** Reports the end of an attempt to the daemon, unless the daemon has cancelled it or has restarted. */
   #end(attempt: RunningAttempt, result: AttemptResult): void {
     const { daemon, life, effect } = attempt;
     if (attempt.isOver || daemon.life !== life) {
@@ -317,6 +317,6 @@
     }
     attempt.isOver = true;
     const { requestId, attempt: number } = effect;
-    this.#world.deliver(daemon, { kind: 'attemptEnded', requestId, attempt: number, result });
+    this.#simulation.deliver(daemon, { kind: 'attemptEnded', requestId, attempt: number, result });
   }
 }
--- a/test/router/support/router-world.ts
+++ b/test/router/support/router-world.ts
@@ -1,4 +1,4 @@
-/** Router daemons in virtual time with a model of the store and of keyed servers, under random faults. */
+/** Simulates router daemons, the store and servers in virtual time, with faults. */
 import { SeededRandom } from '../../../src/core/random.js';
 import type { Effect } from '../../../src/router/effects.js';
 import type { RouterEvent } from '../../../src/router/events.js';
@@ -23,33 +23,33 @@
 
 const TICK = 20;
 const LINK_DELAY = 1;
-/** A link that broke is opened again after this long. */
+/** Interval in milliseconds at which a link is checked and, if broken, opened again. */
 const LINK_RETRY = 150;
-/** The link on which a daemon hears its parent. */
+/** Number of the link on which a daemon receives its parent's messages. */
 const PARENT_LINK = -1;
-/** Outcomes of a call that come with an answer of the server that was meant. */
+/** Outcomes of a control call for which the intended server responded. */
 const ANSWERED: ReadonlySet<string> = new Set(['accepted', 'higherFence', 'rejected']);
-/** One life of a daemon. */
+/** A daemon with the state of its current incarnation. */
 export interface Daemon {
   readonly name: string;
   readonly address: string;
   state: RouterState;
   life: number;
   alive: boolean;
-  /** Other daemons reach it. */
+  /** Whether other daemons can reach this daemon. */
   peersReachable: boolean;
-  /** It reaches the store. */
+  /** Whether the daemon can reach the store. */
   storeReachable: boolean;
-  /** Its process stands still until this time; what reaches it waits. */
+  /** The process is paused until this time; events for it wait. */
   frozenUntil: number;
   readonly machine: Machine;
   clock: DaemonClock;
   following: string | null;
-  /** What it lists and watches in the store; null before its first start. */
+  /** The lists and watches of the daemon in the store; null before its first start. */
   feeds: StoreFeeds | null;
 }
 
-/** What a world of requests does with the effects that concern them. */
+/** Performs the effects that concern callers' requests. */
 export interface RequestCarrier {
   perform(daemon: Daemon, effect: Effect): void;
 }
@@ -64,14 +64,14 @@
   readonly troubles: CallTroubles = { lateShare: 0 };
   readonly events: string[] = [];
   bootClock: BootClock = SOUND_BOOT_CLOCK;
-  /** Carries out what daemons do with requests; null: nobody asks for anything. */
+  /** Performs the daemons' effects on requests; null: there are no requests. */
   requests: RequestCarrier | null = null;
   readonly configurations: ModelFeed<Configuration>;
   readonly serverEntries: ModelFeed<ServerDescription>;
   readonly evacuations: ModelFeed<string>;
   #evacuated: readonly string[] = [];
   readonly #entries = new Map<string, ServerDescription>();
-  #lives = 0;
+  #lastIncarnation = 0;
   #nextServer = 0;
 
   constructor(seed: number, daemonCount = 3, serverCount = 5) {
@@ -90,7 +90,7 @@
     this.clock.after(0, () => this.#tickAll());
   }
 
-  /** Times in ms: how much later its entry comes, and how long it is cold then. */
+  /** Adds a server. `listedAfter` delays its entry, and `warmupLeft` is its warm-up then, both in milliseconds. */
   addServer(
     address: string,
     service = SERVICE,
@@ -111,22 +111,22 @@
       revision: 0,
     };
     if (listedAfter === 0) {
-      this.#list(entry);
+      this.#writeEntry(entry);
     } else {
-      this.clock.after(listedAfter, () => this.#list(entry));
+      this.clock.after(listedAfter, () => this.#writeEntry(entry));
     }
     return server;
   }
 
   /** Writes a server's entry at the store's next revision. */
-  #list(entry: ServerDescription): void {
+  #writeEntry(entry: ServerDescription): void {
     const revision = this.store.revision + 1;
     const instance = instanceOf(entry.id);
     this.#entries.set(instance, { ...entry, revision });
     this.serverEntries.put(instance, { ...entry, revision });
   }
 
-  /** A server crashes and starts again at its address, under the name that it had; its entry never goes. */
+  /** Crashes a server and restarts it at its address under its former name; its entry is replaced but never removed. */
   restartServer(server: ModelServer, born: number): ModelServer {
     const entry = this.#entries.get(instanceOf(server.id));
     if (entry === undefined) {
@@ -136,16 +136,16 @@
     const id = buildServerId(instanceOf(server.id), born);
     const next = new ModelServer(id, server.address, this.clock, this.checker);
     this.servers.push(next);
-    this.#list({ ...entry, id });
+    this.#writeEntry({ ...entry, id });
     return next;
   }
 
-  /** Operators put another configuration into the store. */
+  /** Writes a new configuration to the store. */
   configure(configuration: Configuration): void {
     this.configurations.put('main', configuration);
   }
 
-  /** Takes a server off the list. */
+  /** Removes a server from the list. */
   unlist(id: string): void {
     this.#entries.delete(id);
     this.serverEntries.put(id, null);
@@ -154,19 +154,19 @@
   drain(id: string): void {
     const entry = this.#entries.get(id);
     if (entry !== undefined) {
-      this.#list({ ...entry, draining: true });
+      this.#writeEntry({ ...entry, draining: true });
     }
   }
 
-  /** A server's entry tells another number of slots. */
+  /** Changes the number of slots in a server's entry. */
   resize(id: string, slots: number): void {
     const entry = this.#entries.get(id);
     if (entry !== undefined) {
-      this.#list({ ...entry, slots });
+      this.#writeEntry({ ...entry, slots });
     }
   }
 
-  /** Operators evacuate these zones and no other ones. */
+  /** Evacuates the given zones and ends the evacuation of all others. */
   evacuate(zones: readonly string[]): void {
     const former = this.#evacuated;
     this.#evacuated = zones;
@@ -174,7 +174,7 @@
     former.filter((zone) => !zones.includes(zone)).forEach((zone) => this.evacuations.put(zone, null));
   }
 
-  /** Connections to the store on which daemons wait go silent, without a reset. */
+  /** Makes the connections of all waiting watches unresponsive, without a reset. */
   silenceWatches(): void {
     [this.configurations, this.serverEntries, this.evacuations].forEach((feed) => feed.silenceWatches());
   }
@@ -184,8 +184,8 @@
     const daemon: Daemon = {
       name,
       address,
-      state: this.#freshState(name, address),
-      life: this.#lives,
+      state: this.#createState(name, address),
+      life: this.#lastIncarnation,
       alive: false,
       peersReachable: true,
       storeReachable: true,
@@ -199,17 +199,17 @@
     this.startDaemon(daemon);
   }
 
-  #freshState(daemon: string, peerAddress: string): RouterState {
-    this.#lives += 1;
+  #createState(daemon: string, peerAddress: string): RouterState {
+    this.#lastIncarnation += 1;
     const isFirstStart = this.clock.now === 0;
-    const identity = { daemon, zone: 'z0', peerAddress, life: this.#lives, isFirstStart };
-    return createRouterState(identity, BOUNDS, this.#lives);
+    const identity = { daemon, zone: 'z0', peerAddress, life: this.#lastIncarnation, isFirstStart };
+    return createRouterState(identity, BOUNDS, this.#lastIncarnation);
   }
 
   startDaemon(daemon: Daemon): void {
     daemon.clock = daemon.machine.createClock((now) => this.bootClock(now));
-    daemon.state = this.#freshState(daemon.name, daemon.address);
-    daemon.life = this.#lives;
+    daemon.state = this.#createState(daemon.name, daemon.address);
+    daemon.life = this.#lastIncarnation;
     daemon.alive = true;
     daemon.following = null;
     daemon.feeds?.close();
@@ -229,7 +229,7 @@
     });
   }
 
-  /** Suspends a daemon's machine: what reaches it waits, and its steady clock stands still. */
+  /** Suspends a daemon's machine: events for the daemon wait, and its monotonic clock stops. */
   suspend(daemon: Daemon, length: number): void {
     if (daemon.frozenUntil > this.clock.now) {
       return;
@@ -237,11 +237,11 @@
     const until = this.clock.now + length;
     daemon.frozenUntil = until;
     daemon.machine.suspend(until);
-    // A timer may fire before what waits in the sockets is read.
+    // After the suspension a timer may fire before data in the sockets is read.
     this.clock.after(length, () => this.deliver(daemon, { kind: 'tick' }));
   }
 
-  /** A planned stop: the process goes on for a while, and another one starts after it. */
+  /** Performs a planned stop: the process continues for a while, ends, and another one starts after it. */
   stopDaemon(daemon: Daemon, lingering: number): void {
     const { life } = daemon;
     this.#deliver(daemon, life, { kind: 'stopping' });
@@ -269,7 +269,7 @@
     this.clock.after(TICK, () => this.#tickAll());
   }
 
-  /** Keys that callers ask for at every daemon now. */
+  /** Counts a request for each of the keys at every daemon. */
   ask(keys: readonly number[]): void {
     for (const daemon of this.daemons) {
       const tally = daemon.state.keyTallies.get(SERVICE) ?? new Map<number, number>();
@@ -319,20 +319,20 @@
           },
         );
       case 'control': {
-        // The address answers for whoever lives there now.
-        const there = this.servers.findLast((server) => server.address === effect.address);
-        return carryCall(this.clock, this.random, there, effect, this.troubles, (outcome) => {
-          if (there !== undefined && ANSWERED.has(outcome.kind)) {
+        // The call reaches the server that has the address now, which may be another one than the daemon means.
+        const receiver = this.servers.findLast((server) => server.address === effect.address);
+        return carryCall(this.clock, this.random, receiver, effect, this.troubles, (outcome) => {
+          if (receiver !== undefined && ANSWERED.has(outcome.kind)) {
             const { server } = effect;
-            this.#deliver(daemon, life, { kind: 'serverLimitRead', server, reading: there.limit, sentAt });
+            this.#deliver(daemon, life, { kind: 'serverLimitRead', server, reading: receiver.limit, sentAt });
           }
           this.#deliver(daemon, life, { kind: 'controlEnded', callId: effect.callId, outcome });
         });
       }
       case 'follow':
-        this.#leave(daemon, daemon.following);
+        this.#closeLink(daemon, daemon.following);
         daemon.following = effect.address;
-        this.#watchLink(daemon, life, effect.address, false);
+        this.#checkLink(daemon, life, effect.address, false);
         return;
       case 'followStore':
         return daemon.feeds?.followStore(effect);
@@ -344,13 +344,13 @@
         const parent = this.daemons.find((other) => other.address === daemon.following);
         return parent === undefined
           ? undefined
-          : this.#pass(daemon, parent, this.daemons.indexOf(daemon), effect.message);
+          : this.#sendMessage(daemon, parent, this.daemons.indexOf(daemon), effect.message);
       }
       case 'sendToChildren':
         for (const child of this.daemons) {
           const chosen = effect.link === null || effect.link === this.daemons.indexOf(child);
           if (chosen && child !== daemon && child.following === daemon.address) {
-            this.#pass(daemon, child, PARENT_LINK, effect.message);
+            this.#sendMessage(daemon, child, PARENT_LINK, effect.message);
           }
         }
         return;
@@ -364,13 +364,13 @@
     }
   }
 
-  /** Something happens to a daemon in the life that it has now. */
+  /** Delivers an event to the current incarnation of a daemon. */
   deliver(daemon: Daemon, event: RouterEvent): void {
     this.#deliver(daemon, daemon.life, event);
   }
 
-  /** The parent at an address sees that a daemon's link has ended. */
-  #leave(daemon: Daemon, address: string | null): void {
+  /** Tells the parent at an address that a daemon's link has closed. */
+  #closeLink(daemon: Daemon, address: string | null): void {
     const parent = this.daemons.find((other) => other.address === address);
     if (parent !== undefined) {
       const { life } = parent;
@@ -379,13 +379,13 @@
     }
   }
 
-  /** Tells a daemon when the process that it follows is gone, or is there: nothing listens there in between. */
-  #watchLink(daemon: Daemon, life: number, address: string | null, wasOpen: boolean): void {
+  /** Checks a daemon's link to its parent at intervals and tells the daemon when it opens or closes. */
+  #checkLink(daemon: Daemon, life: number, address: string | null, wasOpen: boolean): void {
     if (address === null || daemon.following !== address || daemon.life !== life) {
       return;
     }
     if (!daemon.alive) {
-      this.#leave(daemon, address);
+      this.#closeLink(daemon, address);
       return;
     }
     const listens =
@@ -396,10 +396,10 @@
     } else if (!wasOpen) {
       this.clock.after(LINK_DELAY, () => this.#deliver(daemon, life, { kind: 'parentLinkOpened' }));
     }
-    this.clock.after(LINK_RETRY, () => this.#watchLink(daemon, life, address, listens));
+    this.clock.after(LINK_RETRY, () => this.#checkLink(daemon, life, address, listens));
   }
 
-  #pass(from: Daemon, to: Daemon, link: number, message: PeerMessage): void {
+  #sendMessage(from: Daemon, to: Daemon, link: number, message: PeerMessage): void {
     const { life } = to;
     const isOpen = from.peersReachable && to.peersReachable;
     if (isOpen) {
@@ -407,7 +407,7 @@
     }
   }
 
-  /** Watched keys that no server would serve now. */
+  /** Returns the checked keys that no server would serve now. */
   unservedKeys(): number[] {
     return WATCHED_KEYS.filter((key) => !this.servers.some((server) => server.holds(key)));
   }
--- a/test/router/support/single-daemon.ts
+++ b/test/router/support/single-daemon.ts
@@ -1,4 +1,4 @@
-/** One daemon with a configuration and three servers, driven event by event. */
+/** One daemon with a configuration and three servers, to which tests deliver single events. */
 import type { Effect } from '../../../src/router/effects.js';
 import type { AttemptResult, RouterEvent } from '../../../src/router/events.js';
 import type { Configuration } from '../../../src/router/model/configuration.js';
@@ -10,7 +10,7 @@
 import { BOUNDS_WITH_RETRIES } from './bounds.js';
 import { fingerprintOf } from './fingerprints.js';
 
-/** Two routes to a balanced service, one to a keyed one. */
+/** Two routes to a balanced service and one to a keyed service. */
 export const CONFIGURATION: Configuration = {
   version: 1,
   routes: [
@@ -75,7 +75,7 @@
   limits: { headerBytes: 1_000, bodyBytes: 1_000, headerTimeout: 1_000, idleTimeout: 1_000 },
 };
 
-/** A server of the balanced service. */
+/** Describes a server of the balanced service. */
 export function server(id: string): ServerDescription {
   const address = `10.0.0.${id.slice(1)}:80`;
   return {
@@ -91,7 +91,7 @@
   };
 }
 
-/** Time passes in ticks of this length, in milliseconds. */
+/** Interval of tick events in milliseconds. */
 const TICK = 20;
 
 export class SingleDaemon {
@@ -138,7 +138,7 @@
     this.event({ kind: 'attemptEnded', requestId, attempt, result });
   }
 
-  /** A server owns every key of the keyed service. */
+  /** Makes a server the owner of every key of the keyed service. */
   own(owner: string): void {
     const unit = { service: 'racks', from: 0, to: LAST_KEY, owner, fence: 3, granted: true, releasing: null };
     this.state.view = new OwnershipView(1, 1, [unit]);
--- a/test/router/support/virtual-clock.ts
+++ b/test/router/support/virtual-clock.ts
@@ -1,4 +1,4 @@
-/** Virtual time: things happen in the order of their times, by the `tinyqueue` library. */
+/** Virtual time: runs scheduled actions in the order of their times, with the `tinyqueue` library as priority queue. */
 import TinyQueue from 'tinyqueue';
 
 interface Planned {
@@ -15,13 +15,13 @@
     (left, right) => left.at - right.at || left.order - right.order,
   );
 
-  /** Plans an action. */
+  /** Schedules an action after a delay in milliseconds. */
   after(delay: number, action: () => void): void {
     this.#order += 1;
     this.#queue.push({ at: this.now + delay, order: this.#order, action });
   }
 
-  /** Lets everything happen up to a time. */
+  /** Runs all actions that are due up to the given time. */
   runUntil(end: number): void {
     for (let next = this.#queue.peek(); next !== undefined && next.at <= end; next = this.#queue.peek()) {
       this.#queue.pop();
--- a/test/router/support/world-configuration.ts
+++ b/test/router/support/world-configuration.ts
@@ -1,4 +1,4 @@
-/** The configuration of a world of router daemons: one keyed service. */
+/** The configuration of simulated router daemons: one keyed service. */
 import type { Configuration } from '../../../src/router/model/configuration.js';
 
 export const SERVICE = 'racks';
--- a/test/router/test-feed-lag.ts
+++ b/test/router/test-feed-lag.ts
@@ -27,20 +27,20 @@
   return reduce(state, now, event).filter((effect) => effect.kind === 'refreshFeed');
 }
 
-describe('a daemon that knows less than others', () => {
+describe('a daemon whose feeds are behind those of other daemons', () => {
   beforeEach(() => {
     state = createRouterState({ daemon: 'd', zone: 'z', peerAddress: '10.0.0.9:1', life: 1 }, BOUNDS, 1);
   });
 
-  // Found by a played day: every change of a server made half of the daemons list everything anew.
-  it('waits for its own watch before it reads anew', () => {
+  // Without the wait, each change of a server makes daemons whose watch is a little later list all servers again.
+  it('waits for its own watch before it lists the feed again', () => {
     expect(heartbeat(1_000, 1, 7)).toEqual([]);
     state.newestServerRevision = 7;
     expect(heartbeat(1_300, 0, 7)).toEqual([]);
     expect(state.feedLags.servers.since).toEqual(null);
   });
 
-  it('reads only the feed that is behind, and once for each news', () => {
+  it('lists only the feed that is behind again, and once for each newer revision', () => {
     heartbeat(1_000, 0, 7);
     expect(heartbeat(1_700, 0, 7)).toEqual([{ kind: 'refreshFeed', feed: 'servers' }]);
     expect(heartbeat(2_500, 0, 7)).toEqual([]);
--- a/test/router/test-ownership-world.ts
+++ b/test/router/test-ownership-world.ts
@@ -3,153 +3,153 @@
 import { WATCHED_KEYS } from './support/model-server.js';
 import { RouterWorld } from './support/router-world.js';
 
-/** Asks for keys so that some are hot, and which ones changes. */
-function addLoad(world: RouterWorld): void {
-  const ask = (): void => {
-    const hot = 7 + 512 * ((Math.floor(world.clock.now / 3_000) * 31) % 128);
+/** Generates requests for keys such that one key is hot, and which key is hotKey changes over time. */
+function addLoad(simulation: RouterWorld): void {
+  const sendRequests = (): void => {
+    const hotKey = 7 + 512 * ((Math.floor(simulation.clock.now / 3_000) * 31) % 128);
     for (let count = 0; count < 6; count += 1) {
-      const cold = WATCHED_KEYS[world.random.below(WATCHED_KEYS.length)] as number;
-      world.ask([world.random.fraction() < 0.5 ? hot : cold]);
+      const randomKey = WATCHED_KEYS[simulation.random.below(WATCHED_KEYS.length)] as number;
+      simulation.ask([simulation.random.fraction() < 0.5 ? hotKey : randomKey]);
     }
-    world.clock.after(50, ask);
+    simulation.clock.after(50, sendRequests);
   };
-  world.clock.after(1_000, ask);
+  simulation.clock.after(1_000, sendRequests);
 }
 
-function crashServer(world: RouterWorld): void {
-  const alive = world.servers.filter((server) => server.alive);
-  const victim = alive[world.random.below(alive.length)];
+function crashServer(simulation: RouterWorld): void {
+  const alive = simulation.servers.filter((server) => server.alive);
+  const victim = alive[simulation.random.below(alive.length)];
   if (victim === undefined || alive.length < 3) {
     return;
   }
   victim.alive = false;
-  world.clock.after(3_900, () => world.unlist(victim.id));
-  world.clock.after(1_000 + world.random.fraction() * 3_000, () => world.addServer(victim.address));
+  simulation.clock.after(3_900, () => simulation.unlist(victim.id));
+  simulation.clock.after(1_000 + simulation.random.fraction() * 3_000, () => simulation.addServer(victim.address));
 }
 
-function killLeader(world: RouterWorld): void {
-  const leader = world.leader();
+function killLeader(simulation: RouterWorld): void {
+  const leader = simulation.leader();
   if (leader !== undefined) {
     leader.alive = false;
-    world.clock.after(300 + world.random.fraction() * 3_000, () => world.startDaemon(leader));
+    simulation.clock.after(300 + simulation.random.fraction() * 3_000, () => simulation.startDaemon(leader));
   }
 }
 
-function stopLeader(world: RouterWorld): void {
-  const leader = world.leader();
+function stopLeader(simulation: RouterWorld): void {
+  const leader = simulation.leader();
   if (leader !== undefined) {
-    world.stopDaemon(leader, 3_000);
+    simulation.stopDaemon(leader, 3_000);
   }
 }
 
-function freezeLeader(world: RouterWorld): void {
-  const leader = world.leader();
+function freezeLeader(simulation: RouterWorld): void {
+  const leader = simulation.leader();
   if (leader !== undefined) {
-    leader.frozenUntil = world.clock.now + 1_000 + world.random.fraction() * 8_000;
+    leader.frozenUntil = simulation.clock.now + 1_000 + simulation.random.fraction() * 8_000;
   }
 }
 
-function cutLeaderFromStore(world: RouterWorld): void {
-  const leader = world.leader();
+function cutLeaderFromStore(simulation: RouterWorld): void {
+  const leader = simulation.leader();
   if (leader !== undefined) {
     leader.storeReachable = false;
-    world.clock.after(5_500, () => {
+    simulation.clock.after(5_500, () => {
       leader.storeReachable = true;
     });
   }
 }
 
-function drainServer(world: RouterWorld): void {
-  const alive = world.servers.filter((server) => server.alive);
-  const victim = alive[world.random.below(alive.length)];
+function drainServer(simulation: RouterWorld): void {
+  const alive = simulation.servers.filter((server) => server.alive);
+  const victim = alive[simulation.random.below(alive.length)];
   if (victim !== undefined && alive.length > 3) {
-    world.drain(victim.id);
-    world.clock.after(6_000, () => {
+    simulation.drain(victim.id);
+    simulation.clock.after(6_000, () => {
       victim.alive = false;
-      world.unlist(victim.id);
+      simulation.unlist(victim.id);
     });
-    world.addServer(`10.0.2.${Math.round(world.clock.now)}:80`);
+    simulation.addServer(`10.0.2.${Math.round(simulation.clock.now)}:80`);
   }
 }
 
-const FAULTS: Readonly<Record<string, (world: RouterWorld) => void>> = {
+const FAULTS: Readonly<Record<string, (simulation: RouterWorld) => void>> = {
   crashServer,
   killLeader,
   stopLeader,
   freezeLeader,
   cutLeaderFromStore,
   drainServer,
-  storeDown: (world) => {
-    world.store.downUntil = world.clock.now + 4_500;
+  storeDown: (simulation) => {
+    simulation.store.downUntil = simulation.clock.now + 4_500;
   },
-  storeSlow: (world) => {
-    world.store.slowness = 40;
-    world.clock.after(4_500, () => {
-      world.store.slowness = 1;
+  storeSlow: (simulation) => {
+    simulation.store.slowness = 40;
+    simulation.clock.after(4_500, () => {
+      simulation.store.slowness = 1;
     });
   },
-  storeLosesAnswers: (world) => {
-    world.store.lostShare = 0.35;
-    world.clock.after(4_500, () => {
-      world.store.lostShare = 0;
+  storeLosesAnswers: (simulation) => {
+    simulation.store.lostShare = 0.35;
+    simulation.clock.after(4_500, () => {
+      simulation.store.lostShare = 0;
     });
   },
-  lateOrders: (world) => {
-    world.troubles.lateShare = 0.3;
-    world.clock.after(5_500, () => {
-      world.troubles.lateShare = 0;
+  lateOrders: (simulation) => {
+    simulation.troubles.lateShare = 0.3;
+    simulation.clock.after(5_500, () => {
+      simulation.troubles.lateShare = 0;
     });
   },
 };
 
-/** Plays a day with some faults; returns what the checker saw. */
-function play(seed: number, faults: readonly string[]): RouterWorld {
-  const world = new RouterWorld(seed);
-  addLoad(world);
+/** Runs a simulation with the given faults at random times. */
+function simulate(seed: number, faults: readonly string[]): RouterWorld {
+  const simulation = new RouterWorld(seed);
+  addLoad(simulation);
   for (const name of faults) {
-    const at = 4_000 + world.random.fraction() * 9_000;
-    world.clock.after(at, () => FAULTS[name]?.(world));
+    const delay = 4_000 + simulation.random.fraction() * 9_000;
+    simulation.clock.after(delay, () => FAULTS[name]?.(simulation));
   }
-  world.clock.runUntil(45_000);
-  return world;
+  simulation.clock.runUntil(45_000);
+  return simulation;
 }
 
 function violationsOf(seeds: number, faults: readonly string[]): string[] {
   const found: string[] = [];
   for (let seed = 1; seed <= seeds; seed += 1) {
-    const { violations } = play(seed, faults).checker;
+    const { violations } = simulate(seed, faults).checker;
     found.push(...violations.slice(0, 1).map((violation) => `seed ${seed}: ${violation}`));
   }
   return found;
 }
 
-/** Seeds for each scenario; SEEDS=200 plays more of them by hand. */
+/** Number of seeds for each scenario; SEEDS=200 in the environment runs more. */
 const SEEDS = Number(process.env['SEEDS'] ?? 6);
 
 describe('ownership in virtual time', () => {
-  // Found by a played day: a unit was granted to an owner that a write under way took it from again.
-  it('keeps one owner while load moves', () => {
+  // Guards against granting a unit to an owner from which a write in progress takes the unit away again.
+  it('keeps at most one owner of each key while the load moves', () => {
     expect(violationsOf(12, [])).toEqual([]);
   });
 
   for (const fault of Object.keys(FAULTS)) {
-    it(`keeps one owner under ${fault}`, () => {
+    it(`keeps at most one owner of each key under ${fault}`, () => {
       expect(violationsOf(SEEDS, [fault])).toEqual([]);
     });
-    it(`keeps one owner under ${fault} twice with a crash and the loss of the leader`, () => {
+    it(`keeps at most one owner of each key under ${fault} twice, with a crash and the loss of the leader`, () => {
       expect(violationsOf(SEEDS, [fault, fault, 'crashServer', 'killLeader'])).toEqual([]);
     });
   }
 
   it('serves every key again after a crash, the loss of the leader, and an outage of the store', () => {
     for (let seed = 1; seed <= 6; seed += 1) {
-      const world = play(seed, ['crashServer', 'killLeader', 'storeDown']);
-      // A key that is moving is without an owner for a moment, never for long.
-      const unserved = new Set(world.unservedKeys());
-      for (let look = 0; look < 3; look += 1) {
-        world.clock.runUntil(world.clock.now + 300);
-        const now = new Set(world.unservedKeys());
-        unserved.forEach((key) => (now.has(key) ? undefined : unserved.delete(key)));
+      const simulation = simulate(seed, ['crashServer', 'killLeader', 'storeDown']);
+      // A moving key has no owner for a moment: only keys without an owner at every check count.
+      const unserved = new Set(simulation.unservedKeys());
+      for (let check = 0; check < 3; check += 1) {
+        simulation.clock.runUntil(simulation.clock.now + 300);
+        const unservedNow = new Set(simulation.unservedKeys());
+        unserved.forEach((key) => (unservedNow.has(key) ? undefined : unserved.delete(key)));
       }
       expect([...unserved]).toEqual([]);
     }
--- a/test/router/test-platform-names.ts
+++ b/test/router/test-platform-names.ts
@@ -3,10 +3,10 @@
 import { join } from 'node:path';
 import { describe, it } from 'node:test';
 
-/** Headers and paths of the platform that the product runs on, in any case. */
+/** Headers and paths of the platform, in any letter case. */
 const HEADERS_AND_PATHS =
   /fennelferry-(attempt|deadline-ms|expect|not-executed|server-seal|server-load|shard|handover|instance)|\/api\/(grant|release|objects|ready)/i;
-/** Its fields and variables. */
+/** Field names and environment variables of the platform. */
 const FIELDS = /\bholdS\b|\btargetVersion\b|FENNELFERRY_NODE_FILE|\bretryRatio\b|\bgraceS\b|\bdrainS\b/;
 
 function namesPlatform(file: string): boolean {
@@ -20,16 +20,16 @@
     .map((name) => join(folder, name));
 }
 
-describe('the folder of the platform', () => {
-  // A lint rule for this would not see strings.
-  it('keeps the names of the platform to itself', () => {
+describe('names of the platform', () => {
+  // A lint rule on imports would not detect names in strings.
+  it('do not occur in the sources outside of the platform folder', () => {
     const sources = sourcesBelow('src');
     expect(sources.length > 100).toEqual(true);
     const found = sources.filter(namesPlatform);
     expect(found).toEqual([]);
   });
 
-  it('would find them', () => {
+  it('are found in the platform folder by the same search', () => {
     const named = sourcesBelow('platform').filter(namesPlatform);
     expect(named.length > 0).toEqual(true);
   });
--- a/test/router/test-resume.ts
+++ b/test/router/test-resume.ts
@@ -3,82 +3,82 @@
 import { missingForCallers } from '../../src/router/router-state.js';
 import { type Daemon, RouterWorld } from './support/router-world.js';
 
-const SETTLED = 6_000;
-const SUSPENDED = 4_000;
-/** As under a simulator that leaves it alone. */
-const FOREIGN_BOOT_CLOCK = (now: number): number => Math.floor((now * 1.7) / 10) * 10;
-const CLOCKS = { 'counts the time': undefined, 'does not': FOREIGN_BOOT_CLOCK };
+const SETTLED_AT = 6_000;
+const SUSPENSION_LENGTH = 4_000;
+/** Runs at a rate of its own, as under a simulator that doesn't virtualize the boot-time clock. */
+const UNRELATED_BOOT_CLOCK = (now: number): number => Math.floor((now * 1.7) / 10) * 10;
+const CLOCKS = { 'advances meanwhile': undefined, 'does not': UNRELATED_BOOT_CLOCK };
 
-function settledWorld(bootClock?: (now: number) => number): { world: RouterWorld; leader: Daemon } {
-  const world = new RouterWorld(3, 5);
-  world.bootClock = bootClock ?? world.bootClock;
-  world.clock.runUntil(SETTLED);
-  const leader = world.leader();
+function createSettledSimulation(bootClock?: (now: number) => number): { simulation: RouterWorld; leader: Daemon } {
+  const simulation = new RouterWorld(3, 5);
+  simulation.bootClock = bootClock ?? simulation.bootClock;
+  simulation.clock.runUntil(SETTLED_AT);
+  const leader = simulation.leader();
   if (leader === undefined) {
-    throw new Error('nobody leads');
+    throw new Error('no daemon is the leader');
   }
-  return { world, leader };
+  return { simulation, leader };
 }
 
-/** Nothing waits in the sockets of the machine when it goes on: all links were cut meanwhile, and work again then. */
-function beginSuspension(world: RouterWorld, daemon: Daemon): void {
-  world.suspend(daemon, SUSPENDED);
+/** Suspends a machine with all links cut, so that no data waits in its sockets when it resumes. */
+function beginSuspension(simulation: RouterWorld, daemon: Daemon): void {
+  simulation.suspend(daemon, SUSPENSION_LENGTH);
   daemon.peersReachable = false;
   daemon.storeReachable = false;
 }
 
-function suspend(world: RouterWorld, daemon: Daemon): void {
-  beginSuspension(world, daemon);
-  world.clock.runUntil(world.clock.now + SUSPENDED);
+function suspend(simulation: RouterWorld, daemon: Daemon): void {
+  beginSuspension(simulation, daemon);
+  simulation.clock.runUntil(simulation.clock.now + SUSPENSION_LENGTH);
   daemon.peersReachable = true;
   daemon.storeReachable = true;
 }
 
 for (const [name, bootClock] of Object.entries(CLOCKS)) {
   describe(`a daemon whose machine was suspended, with a clock that ${name}`, () => {
-    it('is not ready before it has heard of leader or store', () => {
-      const { world, leader } = settledWorld(bootClock);
-      for (const daemon of [leader, world.daemons.find((other) => other !== leader) as Daemon]) {
+    it('is not ready before it has heard from the leader or the store', () => {
+      const { simulation, leader } = createSettledSimulation(bootClock);
+      for (const daemon of [leader, simulation.daemons.find((other) => other !== leader) as Daemon]) {
         expect(missingForCallers(daemon.state)).toEqual(null);
-        suspend(world, daemon);
+        suspend(simulation, daemon);
         expect(missingForCallers(daemon.state)).not.toEqual(null);
-        world.clock.runUntil(world.clock.now + 3_000);
+        simulation.clock.runUntil(simulation.clock.now + 3_000);
         expect(missingForCallers(daemon.state)).toEqual(null);
       }
     });
 
-    it('orders nothing by a leadership that was confirmed before', () => {
-      const { world, leader } = settledWorld(bootClock);
-      suspend(world, leader);
+    it('does not rely on a leadership that was confirmed before the suspension', () => {
+      const { simulation, leader } = createSettledSimulation(bootClock);
+      suspend(simulation, leader);
       expect(leader.state.leadership?.confirmedAt).toEqual(Number.NEGATIVE_INFINITY);
     });
 
-    it('lists anew what it follows in the store', () => {
-      const { world } = settledWorld(bootClock);
-      const watcher = world.daemons.find(
+    it('lists its watched feeds in the store again', () => {
+      const { simulation } = createSettledSimulation(bootClock);
+      const watcher = simulation.daemons.find(
         ({ state }) => state.followsStore && state.leadership === null,
       ) as Daemon;
-      suspend(world, watcher);
+      suspend(simulation, watcher);
       expect(watcher.state.feeds.configuration.answeredAt).toEqual(Number.NEGATIVE_INFINITY);
-      world.clock.runUntil(world.clock.now + 200);
+      simulation.clock.runUntil(simulation.clock.now + 200);
       expect(watcher.state.feeds.configuration.answeredAt > 0).toEqual(true);
     });
 
-    it('takes no answer of the store for a confirmation that it asked for before', () => {
-      const { world, leader } = settledWorld(bootClock);
+    it('does not accept the result of a write sent before the suspension as a confirmation of its leadership', () => {
+      const { simulation, leader } = createSettledSimulation(bootClock);
       const sentAt = leader.clock.now();
-      beginSuspension(world, leader);
-      // It waits in the socket meanwhile.
+      beginSuspension(simulation, leader);
+      // The store's response waits in the socket during the suspension.
       const outcome = { kind: 'written', revision: leader.state.leadership?.leaderRevision ?? 0 } as const;
-      world.deliver(leader, { kind: 'objectWritten', object: 'leader', sentAt, outcome });
-      world.clock.runUntil(world.clock.now + SUSPENDED);
+      simulation.deliver(leader, { kind: 'objectWritten', object: 'leader', sentAt, outcome });
+      simulation.clock.runUntil(simulation.clock.now + SUSPENSION_LENGTH);
       expect(leader.state.leadership?.confirmedAt).toEqual(Number.NEGATIVE_INFINITY);
     });
 
-    it('says for how long', () => {
-      const { world, leader } = settledWorld(bootClock);
-      suspend(world, leader);
-      const lines = world.events.filter((line) => line.includes(`${leader.name} machine_resumed`));
+    it('logs and counts the suspension once', () => {
+      const { simulation, leader } = createSettledSimulation(bootClock);
+      suspend(simulation, leader);
+      const lines = simulation.events.filter((line) => line.includes(`${leader.name} machine_resumed`));
       expect(lines.length).toEqual(1);
       expect(leader.state.counters.suspensions).toEqual(1);
     });
--- a/test/router/test-router-settings.ts
+++ b/test/router/test-router-settings.ts
@@ -14,12 +14,12 @@
 };
 
 describe('the settings of a router daemon', () => {
-  it('reads seconds as milliseconds and passes unknown fields over', () => {
+  it('convert seconds to milliseconds and ignore unknown fields', () => {
     const settings = checkRouterSettings(GOOD, 'test');
     expect(settings.isOk() && settings.value.timing.stopGrace).toEqual(6_000);
   });
 
-  it('has no evacuations and no bound for cold servers where the deployment has none', () => {
+  it('may omit evacuations and the limits on cold servers', () => {
     const coldStart = { factor: null, slack: null };
     const timing = { ...GOOD.timing, evacuation: null };
     const settings = checkRouterSettings({ ...GOOD, timing, coldStart }, 'test');
@@ -28,7 +28,7 @@
     expect(checkRouterSettings(GOOD, 'test').isOk()).toEqual(true);
   });
 
-  it('reads how long an evacuation may take and what cold servers may get', () => {
+  it('contain the time for an evacuation and the limits on cold servers', () => {
     const timing = { ...GOOD.timing, evacuation: 5 };
     const settings = checkRouterSettings({ ...GOOD, timing, coldStart: { factor: 1.5, slack: 8 } }, 'test');
     expect(settings.isOk() && settings.value.timing.evacuation).toEqual(5_000);
@@ -37,7 +37,7 @@
     expect(bad.isErr() && bad.error.faults.length).toEqual(2);
   });
 
-  it('lists every fault at once, with path, what was found and what is allowed', () => {
+  it('are rejected with all errors at once, each with its path, the value found and the values allowed', () => {
     const bad = { ...GOOD, zone: 7, listen: { ...GOOD.listen, http: 'nowhere' }, retries: { ratio: 0.2 } };
     const settings = checkRouterSettings(bad, 'test');
     const faults = settings.isErr() ? settings.error.faults : [];
