--- a/src/router/log-events.ts
+++ b/src/router/log-events.ts
@@ -176,7 +176,7 @@
     fields: 'term, sequence',
   },
   view_is_fresh: {
-    when: 'this daemon hears the leader or the store again, so that its ownership view is no longer stale',
+    when: 'this daemon hears the leader or the store again, so that its ownership view no longer counts as stale',
     fields: 'term, sequence',
   },
   request_answered: { when: "a server's response was sent to the caller", fields: REQUEST_FIELDS },
