--- a/src/router/log-events.ts
+++ b/src/router/log-events.ts
@@ -12,8 +12,14 @@
 /** All events, in the order of the page. */
 export const LOG_EVENTS = {
   started: { when: 'the process starts', fields: 'life (incarnation number of the process), addresses' },
-  stopping: { when: 'SIGTERM was received', fields: 'requests (in progress), leader (whether this daemon is the leader)' },
-  stopped: { when: 'a planned stop ends', fields: 'milliseconds (duration of the stop), unfinished (requests still in progress)' },
+  stopping: {
+    when: 'SIGTERM was received',
+    fields: 'requests (in progress), leader (whether this daemon is the leader)',
+  },
+  stopped: {
+    when: 'a planned stop ends',
+    fields: 'milliseconds (duration of the stop), unfinished (requests still in progress)',
+  },
   settings_reloaded: {
     when: 'the settings were read again after SIGHUP or a change of the file',
     fields: 'the limits and durations now in force',
@@ -57,7 +63,10 @@
     fields: 'version, former (version), routes (how many), source (store, parent, child), revision',
   },
   servers_listed: { when: 'the first list of servers was received', fields: 'servers (how many), revision' },
-  server_added: { when: 'a server is added to the list', fields: 'server, service, address, zone, slots, revision' },
+  server_added: {
+    when: 'a server is added to the list',
+    fields: 'server, service, address, zone, slots, revision',
+  },
   server_draining: { when: 'a server is draining: it gets no new work', fields: 'as of server_added' },
   server_ready: { when: 'a draining server accepts work again', fields: 'as of server_added' },
   server_says_leaving: {
@@ -80,7 +89,8 @@
   },
   server_limit_ended: {
     when: 'responses of a server no longer state a rate limit, or none has confirmed the limit for a long time',
-    fields: 'server, service, former (limit), source (as of server_says_leaving; unconfirmed: no response has stated the limit for a long time), age (ms)',
+    fields:
+      'server, service, former (limit), source (as of server_says_leaving; unconfirmed: no response has stated the limit for a long time), age (ms)',
   },
   malformed_limit: {
     when: 'a server of a service states a rate limit that cannot be parsed, logged once for each service: the current limit stays',
@@ -131,14 +141,18 @@
   candidacy_dropped: { when: 'this daemon gives up its candidacy', fields: 'term, reason' },
   leadership_won: {
     when: 'this daemon becomes the leader',
-    fields: 'term, units (how many), revision, waits_for (ms until the leases of earlier leaders have expired)',
+    fields:
+      'term, units (how many), revision, waits_for (ms until the leases of earlier leaders have expired)',
   },
   leadership_lost: {
     when: 'this daemon is no longer the leader',
     fields: 'term, reason, found (the leader according to the store)',
   },
   relay_followed: { when: 'the leader redirected this daemon to a relay', fields: 'relay' },
-  relay_left: { when: 'the connection to the relay was lost: this daemon reconnects to the leader', fields: 'relay, reason' },
+  relay_left: {
+    when: 'the connection to the relay was lost: this daemon reconnects to the leader',
+    fields: 'relay, reason',
+  },
   child_joined: {
     when: 'a daemon joins as a child and sends its first report',
     fields: 'child, leads (whether this daemon is the leader)',
@@ -180,7 +194,10 @@
     fields: 'term, sequence',
   },
   request_answered: { when: "a server's response was sent to the caller", fields: REQUEST_FIELDS },
-  request_refused: { when: 'a request is refused: it was not executed and never will be', fields: REQUEST_FIELDS },
+  request_refused: {
+    when: 'a request is refused: it was not executed and never will be',
+    fields: REQUEST_FIELDS,
+  },
   request_failed: { when: 'a request is given up: it may have been executed', fields: REQUEST_FIELDS },
   request_broken_off: { when: 'a streamed response broke off', fields: REQUEST_FIELDS },
   caller_left: { when: 'the caller closed its connection', fields: REQUEST_FIELDS },
@@ -193,7 +210,10 @@
     fields: 'kind, name',
   },
   malformed_peer_message: { when: 'bytes received from a peer cannot be parsed', fields: 'peer, detail' },
-  log_lines_dropped: { when: 'log lines of the previous second were dropped: they exceeded the limits of the log', fields: 'lines' },
+  log_lines_dropped: {
+    when: 'log lines of the previous second were dropped: they exceeded the limits of the log',
+    fields: 'lines',
+  },
 } as const satisfies Record<string, LogEventDescription>;
 
 export type LogEventName = keyof typeof LOG_EVENTS;
--- a/test/router/test-ownership-world.ts
+++ b/test/router/test-ownership-world.ts
@@ -24,7 +24,9 @@
   }
   victim.alive = false;
   simulation.clock.after(3_900, () => simulation.unlist(victim.id));
-  simulation.clock.after(1_000 + simulation.random.fraction() * 3_000, () => simulation.addServer(victim.address));
+  simulation.clock.after(1_000 + simulation.random.fraction() * 3_000, () =>
+    simulation.addServer(victim.address),
+  );
 }
 
 function killLeader(simulation: RouterWorld): void {
--- a/test/router/test-resume.ts
+++ b/test/router/test-resume.ts
@@ -9,7 +9,10 @@
 const UNRELATED_BOOT_CLOCK = (now: number): number => Math.floor((now * 1.7) / 10) * 10;
 const CLOCKS = { 'advances meanwhile': undefined, 'does not': UNRELATED_BOOT_CLOCK };
 
-function createSettledSimulation(bootClock?: (now: number) => number): { simulation: RouterWorld; leader: Daemon } {
+function createSettledSimulation(bootClock?: (now: number) => number): {
+  simulation: RouterWorld;
+  leader: Daemon;
+} {
   const simulation = new RouterWorld(3, 5);
   simulation.bootClock = bootClock ?? simulation.bootClock;
   simulation.clock.runUntil(SETTLED_AT);
