--- a/src/router-runtime/admin-routes.ts
+++ b/src/router-runtime/admin-routes.ts
@@ -3,7 +3,7 @@
 import { Hono } from 'hono';
 import type { RequestListener } from 'node:http';
 import { describeLimitOverview } from '../router/limits/limit-overview.js';
-import { missingForCallers, type RouterState } from '../router/router-state.js';
+import { notReadyReason, type RouterState } from '../router/router-state.js';
 import type { RouterEvent } from '../router/events.js';
 import { PROCESS_CLOCK } from '../clock/process-clock.js';
 import type { RouterMetrics } from './router-metrics.js';
@@ -13,11 +13,19 @@
 
 /** What the daemon believes, in short. */
 function describeState(state: RouterState): object {
-  const { identity, configuration, serversRevision, servers, view, election, leadership } = state;
+  const {
+    identity,
+    configuration,
+    serversRevision,
+    servers,
+    ownershipView: view,
+    election,
+    leadership,
+  } = state;
   return {
     daemon: identity.daemon,
     life: identity.life,
-    missingForCallers: missingForCallers(state),
+    missingForCallers: notReadyReason(state),
     configuration: configuration?.version ?? null,
     servers: { revision: serversRevision, count: servers.size },
     ownership: { term: view.term, sequence: view.sequence, units: view.units },
@@ -43,10 +51,10 @@
   });
   app.get('/state', (context) => context.json(describeState(state)));
   app.get('/limits', (context) => context.json(describeLimitOverview(state, PROCESS_CLOCK.now())));
-  app.get('/quarantines', (context) => context.json(state.crashes.quarantines(PROCESS_CLOCK.now())));
+  app.get('/quarantines', (context) => context.json(state.crashTable.quarantines(PROCESS_CLOCK.now())));
   app.delete('/quarantines/:fingerprint', (context) => {
     const fingerprint = context.req.param('fingerprint');
-    if (!state.crashes.isFingerprintQuarantined(fingerprint)) {
+    if (!state.crashTable.isFingerprintQuarantined(fingerprint)) {
       return context.json({ error: 'no request with this fingerprint is in quarantine' }, NOT_FOUND);
     }
     dispatch({ kind: 'quarantineLifted', fingerprint });
--- a/src/router-runtime/attempt.ts
+++ b/src/router-runtime/attempt.ts
@@ -198,14 +198,14 @@
   /** Only an answer that is the server's own for certain says by its silence that there is no limit. */
   #readLimit(): void {
     const limit = this.#protocol.readLimit(this.#rawHeaders);
-    const isOwn = headerValue(this.#rawHeaders, this.#protocol.seal) !== null || this.#isNotRun();
+    const isOwn = headerValue(this.#rawHeaders, this.#protocol.serverProof) !== null || this.#isNotRun();
     if (limit !== null || (isOwn && this.#status !== MISDIRECTED)) {
       this.#listener.limitRead(limit);
     }
   }
 
   #isNotRun(): boolean {
-    return headerValue(this.#rawHeaders, this.#protocol.notRun) !== null;
+    return headerValue(this.#rawHeaders, this.#protocol.notExecuted) !== null;
   }
 
   #endsWithConnection(): boolean {
@@ -232,7 +232,7 @@
     if (misdirected || this.#isNotRun()) {
       return { kind: 'rejected', status, misdirected, load: this.#load() };
     }
-    if (headerValue(this.#rawHeaders, this.#protocol.seal) === null) {
+    if (headerValue(this.#rawHeaders, this.#protocol.serverProof) === null) {
       return this.#lost(`an answer ${status} without a seal`, false);
     }
     return this.#answered();
@@ -258,7 +258,7 @@
   }
 
   #lost(reason: string, connectionEnded: boolean): AttemptResult {
-    return { kind: 'lost', reason, answerBegun: this.#streaming, connectionEnded };
+    return { kind: 'lost', reason, isResponseStarted: this.#streaming, isClosedByServer: connectionEnded };
   }
 
   #fail(reason: string, connectionEnded = false): void {
--- a/src/router-runtime/caller-front.ts
+++ b/src/router-runtime/caller-front.ts
@@ -9,7 +9,7 @@
 import type { AttemptResult, RouterEvent } from '../router/events.js';
 import type { CallerLimits } from '../router/model/configuration.js';
 import { type Key, LAST_KEY, type Milliseconds } from '../router/model/identifiers.js';
-import { instanceOf } from '../router/model/server-life.js';
+import { instanceOf } from '../router/model/server-incarnation.js';
 import type { LimitReading } from '../router/model/server-limit.js';
 import type { RequestProtocol } from '../router/ports.js';
 import { Attempt, type AnswerSink, type AttemptListener } from './attempt.js';
@@ -96,7 +96,7 @@
       () => PROCESS_CLOCK.now(),
       (requestId, waited) => this.#takeIn(requestId, waited),
     );
-    this.#notForwarded = new Set([protocol.timeLeft, protocol.expectedServer]);
+    this.#notForwarded = new Set([protocol.remainingTime, protocol.expectedServer]);
     this.server = createServer(
       { connectionsCheckingInterval: CONNECTIONS_CHECK_MILLISECONDS, noDelay: true },
       (incoming, outgoing) => this.#receive(incoming, outgoing),
@@ -248,7 +248,7 @@
   }
 
   #readPatience(rawHeaders: readonly string[]): number | null {
-    const patience = Number(headerValue(rawHeaders, this.#protocol.timeLeft) ?? Number.NaN);
+    const patience = Number(headerValue(rawHeaders, this.#protocol.remainingTime) ?? Number.NaN);
     return Number.isFinite(patience) && patience >= 0 ? patience : null;
   }
 
@@ -259,7 +259,7 @@
     }
     // The reducer learns this first: an attempt that merely ended would be tried again elsewhere.
     const { attemptId, isTakenIn } = exchange;
-    this.#dispatch({ kind: 'callerLeft', requestId, attemptId, isTakenIn });
+    this.#dispatch({ kind: 'callerLeft', requestId, attemptId, isArrivalReported: isTakenIn });
     exchange.attempt?.cancel();
     this.#forget(requestId, exchange);
   }
@@ -299,7 +299,7 @@
     }
     const { incoming, body, attemptId } = exchange;
     const headers = forwardedHeaders(incoming.rawHeaders, this.#notForwarded);
-    headers.push(this.#protocol.timeLeft, String(Math.max(1, Math.floor(effect.timeLeft))));
+    headers.push(this.#protocol.remainingTime, String(Math.max(1, Math.floor(effect.timeLeft))));
     headers.push(this.#protocol.expectedServer, instanceOf(effect.server));
     const request = { method: incoming.method ?? 'GET', path: incoming.url ?? '/', headers, body, attemptId };
     const sentAt = PROCESS_CLOCK.now();
--- a/src/router-runtime/lazy-fingerprint.ts
+++ b/src/router-runtime/lazy-fingerprint.ts
@@ -1,6 +1,6 @@
 /** Fingerprints of callers' requests, by Node's own SHA-256. */
 import { createHash } from 'node:crypto';
-import { HEAD_CHARACTERS, type RequestFingerprint } from '../router/model/request-fingerprint.js';
+import { FINGERPRINT_HEAD_LENGTH, type RequestFingerprint } from '../router/model/request-fingerprint.js';
 
 /** What a fingerprint is made of. */
 export interface FingerprintParts {
@@ -16,7 +16,7 @@
 }
 
 function digest(bytes: string | Buffer): string {
-  return createHash('sha256').update(bytes).digest('hex').slice(0, HEAD_CHARACTERS);
+  return createHash('sha256').update(bytes).digest('hex').slice(0, FINGERPRINT_HEAD_LENGTH);
 }
 
 /**
--- a/src/router-runtime/object-feed.ts
+++ b/src/router-runtime/object-feed.ts
@@ -2,7 +2,7 @@
  * Follows a list in the platform while it is wanted: lists it, watches it, and lists anew when the watch lost its place.
  */
 import type { Milliseconds } from '../router/model/identifiers.js';
-import type { EndCall, FeedChange, FeedSource, ListOutcome, WatchOutcome } from '../router/ports.js';
+import type { CancelCall, FeedChange, FeedSource, ListOutcome, WatchOutcome } from '../router/ports.js';
 import type { CancelTimer, Timers } from './timers.js';
 import { WatchPacing } from './watch-pacing.js';
 
@@ -42,7 +42,7 @@
 interface CallUnderWay {
   readonly kind: FeedFailure['call'];
   readonly startedAt: Milliseconds;
-  end: EndCall;
+  end: CancelCall;
 }
 
 export class ObjectFeed<Item> {
--- a/src/router-runtime/router-daemon.ts
+++ b/src/router-runtime/router-daemon.ts
@@ -17,7 +17,7 @@
 import { reduce } from '../router/reducer.js';
 import type { RouterBounds } from '../router/router-bounds.js';
 import type { RouterSettings } from '../router/router-settings.js';
-import { createRouterState, missingForCallers, type RouterState } from '../router/router-state.js';
+import { createRouterState, notReadyReason, type RouterState } from '../router/router-state.js';
 import { CallerFront } from './caller-front.js';
 import { EventLog } from './event-log.js';
 import { listen } from './listen.js';
@@ -100,7 +100,7 @@
       },
     });
     this.#readiness = createServer((request, response) => {
-      const missing = missingForCallers(this.state);
+      const missing = notReadyReason(this.state);
       const known = request.url === platform.protocol.readinessPath;
       response.writeHead(known && missing === null ? OK : UNAVAILABLE).end();
     });
@@ -276,8 +276,8 @@
     const sentAt = PROCESS_CLOCK.now();
     const { server } = effect;
     const outcome = await this.#platform.control.call(effect, {
-      noticed: (notice) => this.dispatch({ kind: 'serverNoticed', server, notice }),
-      limitRead: (reading) => this.dispatch({ kind: 'serverLimitRead', server, reading, sentAt }),
+      onNotice: (notice) => this.dispatch({ kind: 'serverNoticed', server, notice }),
+      onLimitRead: (reading) => this.dispatch({ kind: 'serverLimitRead', server, reading, sentAt }),
     });
     this.dispatch({ kind: 'controlEnded', callId: effect.callId, outcome });
   }
--- a/src/router-runtime/router-metrics.ts
+++ b/src/router-runtime/router-metrics.ts
@@ -50,12 +50,15 @@
     this.#gauge('configuration_version', () => state.configuration?.version ?? 0);
     this.#gauge('servers', () => state.servers.size);
     this.#gauge('servers_revision', () => state.serversRevision ?? 0);
-    this.#gauge('ownership_term', () => state.view.term);
-    this.#gauge('units', () => state.view.units.length);
-    this.#gauge('units_without_grant', () => state.view.units.filter((unit) => !unit.granted).length);
+    this.#gauge('ownership_term', () => state.ownershipView.term);
+    this.#gauge('units', () => state.ownershipView.units.length);
+    this.#gauge(
+      'units_without_grant',
+      () => state.ownershipView.units.filter((unit) => !unit.granted).length,
+    );
     this.#gauge('leads', () => (state.leadership === null ? 0 : 1));
-    this.#gauge('suspected_requests', () => state.crashes.suspicionCount);
-    this.#gauge('requests_in_quarantine', () => state.crashes.quarantines(PROCESS_CLOCK.now()).length);
+    this.#gauge('suspected_requests', () => state.crashTable.suspicionCount);
+    this.#gauge('requests_in_quarantine', () => state.crashTable.quarantines(PROCESS_CLOCK.now()).length);
     this.#gauge('requests_in_flight', () => state.requests.size);
     this.#gauge(
       'news_age_seconds',
--- a/src/router/limits/limit-readings.ts
+++ b/src/router/limits/limit-readings.ts
@@ -31,7 +31,7 @@
   server: ServerId,
   { unreadable }: UnreadableLimit,
 ): void {
-  const { counters, profiles, servers } = context.state;
+  const { counters, serviceProfiles: profiles, servers } = context.state;
   counters.malformed_limits += 1;
   const service = servers.get(server)?.server.service;
   const profile = service === undefined ? undefined : profiles.get(service);
--- a/src/router/news/store-updates.ts
+++ b/src/router/news/store-updates.ts
@@ -112,7 +112,7 @@
 }
 
 function createFullServerNews(context: RouterContext, revision: number): ServerNews {
-  const changes = [...context.state.servers.values()].map(({ server }) => directory.changeTo(server));
+  const changes = [...context.state.servers.values()].map(({ server }) => directory.toServerChange(server));
   return { kind: 'serverNews', base: 0, revision, changes };
 }
 
--- a/src/router/notices/draining-updates.ts
+++ b/src/router/notices/draining-updates.ts
@@ -28,7 +28,7 @@
 
 /** Returns all draining servers, for a daemon that has just connected or a new parent; null when there are none. */
 export function createDrainingSnapshot({ state, now }: RouterContext): LeavingNews | null {
-  const servers = state.leaving.statement(now);
+  const servers = state.drainingServers.statement(now);
   return servers.length === 0 ? null : { kind: 'leavingNews', servers };
 }
 
@@ -61,8 +61,8 @@
 ): boolean {
   const { state, now } = context;
   const at = now - age;
-  const isFirst = state.leaving.drainingSince(server) === null;
-  const isNew = state.leaving.record(server, at);
+  const isFirst = state.drainingServers.drainingSince(server) === null;
+  const isNew = state.drainingServers.record(server, at);
   const known = state.servers.get(server);
   if (known !== undefined) {
     known.drainingSince = Math.min(known.drainingSince ?? at, at);
--- a/src/router/notices/server-notices.ts
+++ b/src/router/notices/server-notices.ts
@@ -1,7 +1,7 @@
 /** Handles the notices about themselves that servers attach to responses. */
 import type { ServerNoticedEvent } from '../events.js';
 import type { Milliseconds } from '../model/identifiers.js';
-import type { RestReading } from '../model/server-notice.js';
+import type { BackOffReading } from '../model/server-notice.js';
 import type { RouterContext } from '../router-context.js';
 import type { KnownServer } from '../router-state.js';
 import { reportOverload } from '../tree/reports.js';
@@ -22,8 +22,8 @@
   }
 }
 
-function handleBackOffRequest(context: RouterContext, known: KnownServer, rest: RestReading): void {
-  const { counters, profiles } = context.state;
+function handleBackOffRequest(context: RouterContext, known: KnownServer, rest: BackOffReading): void {
+  const { counters, serviceProfiles: profiles } = context.state;
   const { id, service } = known.server;
   if (rest === null) {
     return;
--- a/src/router/ownership/begin-leadership.ts
+++ b/src/router/ownership/begin-leadership.ts
@@ -63,7 +63,7 @@
     nextPlanAt: now,
     nextMergeAt: now + UNIT_MERGE_INTERVAL,
     nextReportAggregationAt: now,
-    daemonCount: new RecentPeak(DAEMON_COUNT_MEMORY, state.view.term > 0 ? state.daemons : 1, now),
+    daemonCount: new RecentPeak(DAEMON_COUNT_MEMORY, state.ownershipView.term > 0 ? state.daemons : 1, now),
     viewStep: 0,
     viewChanged: true,
     nextBroadcastAt: now,
--- a/src/router/ownership/election.ts
+++ b/src/router/ownership/election.ts
@@ -240,8 +240,8 @@
   const { state } = context;
   const units = table.units.map((unit) => ({ ...unit, granted: true }));
   const view = new OwnershipView(table.term, viewSequence(revision, 0), units);
-  if (view.isNewerThan(state.view)) {
-    state.view = view;
+  if (view.isNewerThan(state.ownershipView)) {
+    state.ownershipView = view;
     context.log('ownership_read', { term: table.term, revision, units: units.length });
   }
 }
--- a/src/router/ownership/isolation.ts
+++ b/src/router/ownership/isolation.ts
@@ -30,9 +30,9 @@
     state.isolation.misdirectedRequests += 1;
     return;
   }
-  const unit = state.view.unitOf(service, key);
+  const unit = state.ownershipView.unitOf(service, key);
   if (unit !== undefined) {
-    state.doubtedUnits.add(unit.fence, now);
+    state.recentlyRejectedUnits.add(unit.fence, now);
   }
 }
 
@@ -47,8 +47,8 @@
   if (isStale !== isolation.isViewStale) {
     isolation.isViewStale = isStale;
     context.log(isStale ? 'view_is_old' : 'view_is_fresh', {
-      term: state.view.term,
-      sequence: state.view.sequence,
+      term: state.ownershipView.term,
+      sequence: state.ownershipView.sequence,
     });
   }
 }
--- a/src/router/ownership/known-leader.ts
+++ b/src/router/ownership/known-leader.ts
@@ -1,5 +1,5 @@
 /** Which daemon leads, as read from the store or received from other daemons. */
-import { noteVersionsOf } from '../feed-lag.js';
+import { comparePeerVersions } from '../feed-lag.js';
 import { recordParentDataAge } from '../news/store-data-age.js';
 import { applyEvacuations } from '../news/apply-evacuations.js';
 import type { Heartbeat, LeaderIdentity, LeaderNotice } from '../peers/messages.js';
@@ -105,7 +105,7 @@
   election.leaderRefusals = 0;
   setDaemonCount(state, heartbeat.daemons);
   applyEvacuations(context, heartbeat.evacuations);
-  noteVersionsOf(context, heartbeat);
+  comparePeerVersions(context, heartbeat);
 }
 
 /**
--- a/src/router/ownership/leader.ts
+++ b/src/router/ownership/leader.ts
@@ -5,7 +5,7 @@
  * every key at most one owner.
  */
 import type { Milliseconds, ServerId } from '../model/identifiers.js';
-import { instanceOf } from '../model/server-life.js';
+import { instanceOf } from '../model/server-incarnation.js';
 import type { RouterContext } from '../router-context.js';
 import { confirmLeadership } from './leader-confirmation.js';
 import { tickReportAggregation } from './report-aggregation.js';
@@ -51,7 +51,7 @@
  * server list changes.
  */
 export function recordServerList(context: RouterContext, leadership: Leadership): void {
-  const { servers, lives } = context.state;
+  const { servers, serverIdsByInstance: lives } = context.state;
   const listedAt = new Map<string, ServerId>();
   for (const { server } of servers.values()) {
     leadership.addresses.set(server.id, server.address);
--- a/src/router/ownership/ownership-broadcast.ts
+++ b/src/router/ownership/ownership-broadcast.ts
@@ -44,10 +44,10 @@
   leadership.viewChanged = false;
   leadership.viewStep += 1;
   const view = currentView(leadership);
-  const before = state.view.term === view.term ? state.view : null;
+  const before = state.ownershipView.term === view.term ? state.ownershipView : null;
   const known = new Set(before?.units.map(unitViewKey));
   const changed = view.units.filter((unit) => !known.has(unitViewKey(unit)));
-  state.view = view;
+  state.ownershipView = view;
   const message = buildOwnershipMessage(view, before?.sequence ?? 0, changed);
   context.emit({ kind: 'sendToChildren', link: null, message });
 }
@@ -57,18 +57,21 @@
   const { state } = context;
   const units = message.units.map((unit) => ({ ...unit, releasing: null }));
   const isChange = message.base !== 0;
-  if (isChange && (message.base !== state.view.sequence || message.term !== state.view.term)) {
+  if (
+    isChange &&
+    (message.base !== state.ownershipView.sequence || message.term !== state.ownershipView.term)
+  ) {
     // An earlier change was missed. The next report shows that to the parent, which then sends the whole
     // view.
     return;
   }
   const view = isChange
-    ? state.view.changed(message.sequence, units)
+    ? state.ownershipView.changed(message.sequence, units)
     : new OwnershipView(message.term, message.sequence, units);
-  if (!view.isNewerThan(state.view)) {
+  if (!view.isNewerThan(state.ownershipView)) {
     return;
   }
-  state.view = view;
+  state.ownershipView = view;
   context.emit({ kind: 'sendToChildren', link: null, message });
   const granted = units.filter((unit) => unit.granted).length;
   context.log('ownership_heard', { term: view.term, sequence: view.sequence, units: units.length, granted });
--- a/src/router/ownership/unit-control.ts
+++ b/src/router/ownership/unit-control.ts
@@ -144,7 +144,7 @@
   const handover =
     action === 'grant' ? (leadership.unitProgress.get(unitName(unit))?.handover ?? null) : null;
   const { from, to } = unit;
-  const callId = context.control({
+  const callId = context.callServer({
     action,
     server,
     address,
@@ -153,7 +153,7 @@
     fence,
     hold: leaseDuration,
     handover,
-    patience: timeout,
+    timeout: timeout,
     healthPath: context.state.configuration?.services.get(unit.service)?.healthPath ?? DEFAULT_HEALTH_PATH,
   });
   const call: PendingCall = {
--- a/src/router/peers/messages.ts
+++ b/src/router/peers/messages.ts
@@ -1,7 +1,7 @@
 /** The messages between daemons, discriminated by `kind`. Mirrors proto/router.proto. */
 import type { Configuration } from '../model/configuration.js';
 import type { DaemonName, Key, Milliseconds, ServerId, ServiceName } from '../model/identifiers.js';
-import type { InstanceName } from '../model/server-life.js';
+import type { InstanceName } from '../model/server-incarnation.js';
 import type { ServerDescription } from '../model/server.js';
 import type { RestReport } from '../notices/back-off-reports.js';
 import type { PermitAnswer, PermitAsk } from '../limits/permit-messages.js';
--- a/src/router/quarantine/crash-detection.ts
+++ b/src/router/quarantine/crash-detection.ts
@@ -37,7 +37,7 @@
   if (known === undefined || known.drainingSince !== null) {
     return;
   }
-  const { broken } = context.state.serverEnds;
+  const { broken } = context.state.brokenConnections;
   const { server } = known;
   const entry = broken.get(server.id) ?? {
     server,
@@ -58,26 +58,26 @@
   result: AttemptResult,
 ): void {
   const isAnswer = result.kind === 'answered' || (result.kind === 'rejected' && !result.misdirected);
-  const entry = context.state.serverEnds.broken.get(server);
+  const entry = context.state.brokenConnections.broken.get(server);
   if (result.kind === 'notSent' && result.refused && entry !== undefined) {
     confirmCrash(context, entry, 'connections are refused');
   } else if (isAnswer) {
     // An answer to a request sent before the connection broke doesn't show that the server is still alive.
     if (entry !== undefined && startedAt > entry.brokenAt) {
-      context.state.serverEnds.broken.delete(server);
+      context.state.brokenConnections.broken.delete(server);
     }
     recordServerAlive(context, server, startedAt);
   }
 }
 
 function confirmCrash(context: RouterContext, crash: SuspectedCrash, evidence: string): void {
-  context.state.serverEnds.broken.delete(crash.server.id);
+  context.state.brokenConnections.broken.delete(crash.server.id);
   recordServerCrash(context, crash, evidence);
 }
 
 /** Confirms crashes by a new list of servers: the entry is gone, or another incarnation has the address. */
 export function confirmCrashesByServerList(context: RouterContext): void {
-  const { serverEnds, servers, serversByService } = context.state;
+  const { brokenConnections: serverEnds, servers, serversByService } = context.state;
   for (const entry of [...serverEnds.broken.values()]) {
     const { id, address, service } = entry.server;
     const others = serversByService.get(service)?.values() ?? [];
@@ -91,7 +91,7 @@
 
 /** Probes servers whose connections broke and that have sent no evidence since, and drops those left undecided. */
 export function tickCrashDetection(context: RouterContext): void {
-  const { broken } = context.state.serverEnds;
+  const { broken } = context.state.brokenConnections;
   for (const [id, entry] of broken) {
     if (context.now - entry.brokenAt > DETECTION_TIMEOUT) {
       broken.delete(id);
@@ -110,7 +110,10 @@
 function sendProbe(context: RouterContext, entry: SuspectedCrash): void {
   entry.probes += 1;
   entry.nextProbeAt = context.now + PROBE_INTERVAL;
-  context.state.serverEnds.probes.set(probeServer(context, entry.server, PROBE_TIMEOUT), entry.server.id);
+  context.state.brokenConnections.probes.set(
+    probeServer(context, entry.server, PROBE_TIMEOUT),
+    entry.server.id,
+  );
 }
 
 function isUnresponsive({ kind }: ControlOutcome): boolean {
@@ -119,7 +122,7 @@
 
 /** Handles the outcome of a control call if it was a crash detection probe. Returns whether it was. */
 export function receiveCrashProbe(context: RouterContext, callId: number, outcome: ControlOutcome): boolean {
-  const { serverEnds } = context.state;
+  const { brokenConnections: serverEnds } = context.state;
   const server = serverEnds.probes.get(callId);
   if (server === undefined) {
     return false;
--- a/src/router/quarantine/crash-table.ts
+++ b/src/router/quarantine/crash-table.ts
@@ -4,7 +4,7 @@
  * in any order and more than once. The numbers of entries and of servers per entry are bounded.
  */
 import type { Milliseconds, ServerId } from '../model/identifiers.js';
-import { headOf, type RequestFingerprint } from '../model/request-fingerprint.js';
+import { fingerprintHead, type RequestFingerprint } from '../model/request-fingerprint.js';
 import { CrashEntry } from './crash-entry.js';
 import { type CrashedServer, type CrashRecord, emptyCrashRecord } from './crash-record.js';
 import { CrashSuspects } from './crash-suspects.js';
@@ -158,7 +158,7 @@
 
   #create(fingerprint: string, now: Milliseconds): CrashEntry {
     const entry = new CrashEntry(fingerprint, now);
-    const head = headOf(fingerprint);
+    const head = fingerprintHead(fingerprint);
     this.#entries.set(fingerprint, entry);
     this.#headCounts.set(head, (this.#headCounts.get(head) ?? 0) + 1);
     return entry;
@@ -229,7 +229,7 @@
     }
     this.#candidates.delete(entry);
     this.#entries.delete(entry.fingerprint);
-    const head = headOf(entry.fingerprint);
+    const head = fingerprintHead(entry.fingerprint);
     const left = (this.#headCounts.get(head) ?? 1) - 1;
     if (left === 0) {
       this.#headCounts.delete(head);
--- a/src/router/quarantine/quarantine.ts
+++ b/src/router/quarantine/quarantine.ts
@@ -6,7 +6,7 @@
  */
 import type { CrashNews, UpdateSource } from '../peers/messages.js';
 import type { Milliseconds, ServerId } from '../model/identifiers.js';
-import { headOf, type RequestFingerprint } from '../model/request-fingerprint.js';
+import { fingerprintHead, type RequestFingerprint } from '../model/request-fingerprint.js';
 import type { ActiveRequest } from '../request/active-request.js';
 import { cancelAttempt, endWithOwnAnswer } from '../request/request-dispatch.js';
 import type { RouterContext } from '../router-context.js';
@@ -91,7 +91,7 @@
 
 /** Exonerates a server that has answered a request, if the request was sent after this daemon learned of the crash. */
 export function recordServerAlive(context: RouterContext, server: ServerId, sentAt: Milliseconds): void {
-  const { crashes } = context.state;
+  const { crashTable: crashes } = context.state;
   if (!crashes.isEmpty) {
     broadcastRecords(context, crashes.exonerateServer(server, sentAt, context.now), 'observed');
   }
@@ -102,18 +102,22 @@
  * before it reached the point at which servers crash.
  */
 export function recordRequestAnswered(context: RouterContext, request: ActiveRequest, status: number): void {
-  if (!context.state.crashes.isEmpty && status < FIRST_SERVER_ERROR_STATUS) {
+  if (!context.state.crashTable.isEmpty && status < FIRST_SERVER_ERROR_STATUS) {
     exonerateRequest(context, request.fingerprint, 'a server answered it');
   }
 }
 
 /** Ends the quarantine of a request at an operator's command. */
 export function liftQuarantine(context: RouterContext, fingerprint: string): void {
-  exonerateRequest(context, { head: headOf(fingerprint), value: fingerprint }, 'an operator lifted it');
+  exonerateRequest(
+    context,
+    { head: fingerprintHead(fingerprint), value: fingerprint },
+    'an operator lifted it',
+  );
 }
 
 function exonerateRequest(context: RouterContext, fingerprint: RequestFingerprint, reason: string): void {
-  const { crashes } = context.state;
+  const { crashTable: crashes } = context.state;
   const wasQuarantined = crashes.isQuarantined(fingerprint);
   const record = crashes.exonerateRequest(fingerprint, context.now);
   if (record === null) {
@@ -131,7 +135,7 @@
   records: readonly CrashRecord[],
   source: RecordSource,
 ): void {
-  const { crashes } = context.state;
+  const { crashTable: crashes } = context.state;
   const quarantinedBefore = new Set(
     records.map(({ fingerprint }) => fingerprint).filter((value) => crashes.isFingerprintQuarantined(value)),
   );
@@ -152,7 +156,7 @@
 
 /** Returns all crash records, for a daemon that has just connected or a new parent; null when there are none. */
 export function createCrashSnapshot({ state, now }: RouterContext): CrashNews | null {
-  return state.crashes.isEmpty ? null : { kind: 'crashNews', records: state.crashes.records(now) };
+  return state.crashTable.isEmpty ? null : { kind: 'crashNews', records: state.crashTable.records(now) };
 }
 
 /** Ends all copies of a quarantined request at once: those held, those waiting for a retry and those in flight. */
@@ -161,7 +165,7 @@
   state.counters.quarantines += 1;
   context.log('quarantine_begun', { fingerprint, servers: ended.map(({ server }) => server) }, 'warn');
   for (const request of [...state.requests.values()]) {
-    if (state.crashes.isQuarantined(request.fingerprint)) {
+    if (state.crashTable.isQuarantined(request.fingerprint)) {
       refuseQuarantined(context, request);
     }
   }
@@ -172,7 +176,7 @@
  * request is repeated very often, until one more server has crashed under it.
  */
 export function isRefusedByQuarantine(context: RouterContext, request: ActiveRequest): boolean {
-  const { crashes, leadership } = context.state;
+  const { crashTable: crashes, leadership } = context.state;
   if (!crashes.isQuarantined(request.fingerprint)) {
     return false;
   }
@@ -185,7 +189,7 @@
 
 /** Records a failed retest when the server's side closed the connection of a quarantined request. */
 export function recordFailedRetest(context: RouterContext, { fingerprint }: ActiveRequest): void {
-  const record = context.state.crashes.recordFailedRetest(fingerprint, context.now);
+  const record = context.state.crashTable.recordFailedRetest(fingerprint, context.now);
   if (record !== null) {
     broadcastRecords(context, [record], 'observed');
   }
@@ -197,7 +201,7 @@
  */
 export function isHeldBack(context: RouterContext, { fingerprint }: ActiveRequest): boolean {
   const { state, now } = context;
-  const { crashes, leadership, bounds } = state;
+  const { crashTable: crashes, leadership, bounds } = state;
   if (crashes.isEmpty || !crashes.isHeldBack(fingerprint, bounds.contact * CONFIRMATION_SHARE, now)) {
     return false;
   }
@@ -221,7 +225,7 @@
 /** Quarantines the requests that have been suspected for the confirmation time, and removes expired records. */
 export function tickQuarantine(context: RouterContext): void {
   const { state, now } = context;
-  const { crashes, bounds } = state;
+  const { crashTable: crashes, bounds } = state;
   if (crashes.isEmpty) {
     return;
   }
--- a/src/router/quarantine/stored-quarantines.ts
+++ b/src/router/quarantine/stored-quarantines.ts
@@ -6,7 +6,7 @@
 import * as z from 'zod';
 import type { ObjectReadEvent, ObjectWrittenEvent } from '../events.js';
 import type { Milliseconds } from '../model/identifiers.js';
-import { HEAD_CHARACTERS } from '../model/request-fingerprint.js';
+import { FINGERPRINT_HEAD_LENGTH } from '../model/request-fingerprint.js';
 import { LEADERSHIP_VALIDITY } from '../ownership/ownership-timing.js';
 import type { RouterContext } from '../router-context.js';
 import type { CrashRecord } from './crash-record.js';
@@ -16,7 +16,7 @@
 const CALL_INTERVAL: Milliseconds = 500;
 const FINGERPRINT_SCHEMA = z
   .string()
-  .length(2 * HEAD_CHARACTERS)
+  .length(2 * FINGERPRINT_HEAD_LENGTH)
   .regex(/^[0-9a-f]+$/);
 
 const quarantinesSchema = z.object({
@@ -25,7 +25,7 @@
 type QuarantinesRecord = z.infer<typeof quarantinesSchema>;
 
 function currentQuarantines({ state, now }: RouterContext): QuarantinesRecord {
-  const quarantines = state.crashes
+  const quarantines = state.crashTable
     .quarantines(now)
     .map(({ fingerprint, ended }) => ({ fingerprint, servers: ended.map(({ server }) => server) }));
   return { quarantines };
--- a/src/router/reducer.ts
+++ b/src/router/reducer.ts
@@ -1,6 +1,6 @@
 /**
- * The one reducer over all events. Deterministic: the same events at the same times from the same start
- * give the same effects. The state is changed in place; effects come back as data.
+ * The reducer that handles every event of a daemon. It is deterministic: the same events at the same times from the same
+ * initial state produce the same effects. It changes the state in place and returns the effects as data.
  */
 import type { Effect } from './effects.js';
 import type {
@@ -54,7 +54,7 @@
 import { receiveRequest, processEarlyRequests } from './request/request-arrival.js';
 import { processPermitAnswers } from './request/request-dispatch.js';
 import { receiveCallerLeft, tickRequests } from './request/request-ticks.js';
-import { doubtRead, doubtWrite, resume } from './resume.js';
+import { invalidateEarlierRead, invalidateEarlierWrite, handleResumed } from './suspension.js';
 import { RouterContext } from './router-context.js';
 import type { RouterState } from './router-state.js';
 import { removeChild, receiveReport } from './tree/children.js';
@@ -63,7 +63,7 @@
 import { sendReportNow, tickReports } from './tree/reports.js';
 
 /**
- * Takes one event in.
+ * Applies one event to the state and returns the effects to perform.
  *
  * @example
  * const effects = reduce(state, 20, { kind: 'tick' });
@@ -79,7 +79,7 @@
     case 'tick':
       return tick(context);
     case 'resumed':
-      return resume(context, event);
+      return handleResumed(context, event);
     case 'requestArrived':
       return receiveRequest(context, event);
     case 'attemptEnded':
@@ -96,10 +96,10 @@
     case 'serversListed':
       news.applyStoredServerList(context, event);
       processEarlyRequests(context);
-      return noteServerChanges(context);
+      return handleServerChanges(context);
     case 'serversChanged':
       news.applyStoredServerChanges(context, event);
-      return noteServerChanges(context);
+      return handleServerChanges(context);
     case 'evacuationsListed':
       return applyStoredEvacuationList(context, event);
     case 'evacuationsChanged':
@@ -109,26 +109,26 @@
     case 'feedFailed':
       return receiveFeedFailed(context, event);
     case 'objectRead':
-      return receiveObjectRead(context, { ...event, outcome: doubtRead(context, event) });
+      return receiveObjectRead(context, { ...event, outcome: invalidateEarlierRead(context, event) });
     case 'objectWritten':
-      return receiveObjectWritten(context, { ...event, outcome: doubtWrite(context, event) });
+      return receiveObjectWritten(context, { ...event, outcome: invalidateEarlierWrite(context, event) });
     case 'controlEnded':
-      return receiveControl(context, event);
+      return handleControlEnded(context, event);
     case 'peerMessage':
       return receivePeerMessage(context, event);
     case 'peerLeft':
       return removeChild(context, event.link);
     case 'parentLinkOpened':
-      return greetParent(context);
+      return updateNewParent(context);
     case 'parentLinkClosed':
       election.recordLeaderConnectionClosed(context, event);
       return receiveParentClosed(context, event);
     case 'settingsRead':
-      return takeSettings(context, event);
+      return applySettings(context, event);
     case 'quarantineLifted':
       return quarantine.liftQuarantine(context, event.fingerprint);
     case 'stopping':
-      return stop(context);
+      return beginStop(context);
   }
 }
 
@@ -155,8 +155,8 @@
   tickRequests(context);
 }
 
-/** The connection to a parent is new: it may lack what this daemon has seen. */
-function greetParent(context: RouterContext): void {
+/** Sends a newly connected parent the reports and notices of this daemon, which the parent may not have. */
+function updateNewParent(context: RouterContext): void {
   sendReportNow(context);
   resetPermitServiceHealth(context);
   for (const message of createNoticeSnapshots(context)) {
@@ -164,17 +164,17 @@
   }
 }
 
-function takeSettings(context: RouterContext, { bounds, faults }: SettingsReadEvent): void {
+function applySettings(context: RouterContext, { bounds, faults }: SettingsReadEvent): void {
   if (bounds === null) {
     context.log('settings_rejected', { faults }, 'warn');
     return;
   }
   context.state.bounds = bounds;
-  context.state.budgets.clear();
+  context.state.retryBudgets.clear();
   context.log('settings_reloaded', { ...bounds });
 }
 
-function stop(context: RouterContext): void {
+function beginStop(context: RouterContext): void {
   const { state } = context;
   const { leadership } = state;
   state.stopping = true;
@@ -186,14 +186,14 @@
   }
 }
 
-function receiveControl(context: RouterContext, event: ControlEndedEvent): void {
+function handleControlEnded(context: RouterContext, event: ControlEndedEvent): void {
   const { leadership } = context.state;
   if (!receiveCrashProbe(context, event.callId, event.outcome) && leadership !== null) {
     receiveControlEnded(context, leadership, event);
   }
 }
 
-function noteServerChanges(context: RouterContext): void {
+function handleServerChanges(context: RouterContext): void {
   const { leadership } = context.state;
   confirmCrashesByServerList(context);
   if (leadership !== null) {
@@ -250,7 +250,7 @@
     case 'serverNews':
       news.receiveServerNews(context, message, source);
       processEarlyRequests(context);
-      return noteServerChanges(context);
+      return handleServerChanges(context);
     case 'configurationNews':
       news.receiveConfigurationNews(context, message, source);
       return processEarlyRequests(context);
--- a/src/router/request/attempt-outcome.ts
+++ b/src/router/request/attempt-outcome.ts
@@ -109,7 +109,7 @@
     known.load.report(reading, context.now);
     return reading;
   }
-  const { counters, profiles } = context.state;
+  const { counters, serviceProfiles: profiles } = context.state;
   const { id, service } = known.server;
   const profile = profiles.get(service);
   counters.malformed_load_reports += 1;
@@ -216,7 +216,7 @@
 /** Returns whether a request must not be sent again because servers, as seen here and by other daemons, may have crashed under it. */
 function mayCrashAnotherServer({ state }: RouterContext, request: ActiveRequest): boolean {
   const { possibleCrashes, fingerprint } = request;
-  const recordedCrashes = state.crashes.isEmpty ? 0 : state.crashes.crashCount(fingerprint);
+  const recordedCrashes = state.crashTable.isEmpty ? 0 : state.crashTable.crashCount(fingerprint);
   return (
     possibleCrashes >= MAX_POSSIBLE_CRASHES ||
     (possibleCrashes > 0 && recordedCrashes + possibleCrashes >= CRASHES_FOR_QUARANTINE)
@@ -233,18 +233,18 @@
   request.lostAttempts += 1;
   request.mayHaveRun = true;
   recordLostAttempt(request, known, now);
-  if (result.connectionEnded) {
+  if (result.isClosedByServer) {
     recordConnectionClosed(context, request, known);
     recordFailedRetest(context, request);
     request.possibleCrashes += now - request.attemptStartedAt >= MAX_SHED_TIME ? 1 : 0;
   }
-  if (result.answerBegun) {
+  if (result.isResponseStarted) {
     context.state.requests.delete(request.id);
     context.state.counters.failed += 1;
     recordRequestEnd(context, request, 'broken_off', 0, result.reason);
     return;
   }
-  if (result.connectionEnded && mayCrashAnotherServer(context, request)) {
+  if (result.isClosedByServer && mayCrashAnotherServer(context, request)) {
     endWithOwnAnswer(context, request, 'servers ended their connections under it', null);
     return;
   }
--- a/src/router/request/destination.ts
+++ b/src/router/request/destination.ts
@@ -100,7 +100,7 @@
 
 /** Returns the owner of a key, or a refusal while this daemon doesn't know that the owner holds the key. */
 function findOwner(context: RouterContext, service: ServiceName, key: number): KnownServer | RoutingRefusal {
-  const { view, servers, doubtedUnits } = context.state;
+  const { ownershipView: view, servers, recentlyRejectedUnits: doubtedUnits } = context.state;
   const unit = view.unitOf(service, key);
   if (unit === undefined) {
     return createRefusal('the key has no owner', true);
--- a/src/router/request/request-arrival.ts
+++ b/src/router/request/request-arrival.ts
@@ -38,8 +38,8 @@
   state.counters.requests += 1;
   if (state.configuration !== null && state.serversRevision !== null) {
     admitRequest(context, event, state.configuration, now);
-  } else if (state.early.size < MAX_EARLY_REQUESTS) {
-    state.early.set(event.requestId, { event, readAt: now });
+  } else if (state.earlyRequests.size < MAX_EARLY_REQUESTS) {
+    state.earlyRequests.set(event.requestId, { event, readAt: now });
   } else {
     refuseBeforeAdmission(context, event, UNAVAILABLE, 'no configuration yet', NO_CONFIGURATION_RETRY_AFTER);
   }
@@ -47,7 +47,7 @@
 
 /** Admits requests that arrived before the first configuration and list of servers, or refuses them once their hold time is over. */
 export function processEarlyRequests(context: RouterContext): void {
-  const { early, configuration, serversRevision } = context.state;
+  const { earlyRequests: early, configuration, serversRevision } = context.state;
   for (const [requestId, { event, readAt }] of early) {
     if (configuration !== null && serversRevision !== null) {
       early.delete(requestId);
@@ -81,7 +81,7 @@
     refuseAfterReadDelay(context, event, route);
     return;
   }
-  const service = state.rotation.next(route);
+  const service = state.targetRotation.next(route);
   const keyed = service !== undefined && configuration.services.get(service)?.keyed === true;
   if (service === undefined || (keyed && event.key === null)) {
     refuseBeforeAdmission(context, event, BAD_REQUEST, 'the request has no key', null);
--- a/src/router/request/request-dispatch.ts
+++ b/src/router/request/request-dispatch.ts
@@ -36,7 +36,7 @@
 
 /** Returns the retry budget of a service. */
 export function retryBudgetOf(context: RouterContext, service: string): RetryBudget {
-  const { budgets, bounds, daemons } = context.state;
+  const { retryBudgets: budgets, bounds, daemons } = context.state;
   let budget = budgets.get(service);
   if (budget === undefined) {
     budget = new RetryBudget(bounds.retries, daemons);
@@ -49,7 +49,7 @@
 export function setDaemonCount(state: RouterState, daemons: number): void {
   if (state.daemons !== daemons) {
     state.daemons = daemons;
-    state.budgets.forEach((budget) => budget.setDaemonCount(daemons));
+    state.retryBudgets.forEach((budget) => budget.setDaemonCount(daemons));
   }
 }
 
@@ -177,7 +177,7 @@
     service: request.service,
     key: request.key,
     configuration: state.configuration?.version ?? null,
-    ownership: request.key === null ? null : `${state.view.term}.${state.view.sequence}`,
+    ownership: request.key === null ? null : `${state.ownershipView.term}.${state.ownershipView.sequence}`,
     servers: state.serversRevision,
     attempts: request.attemptOutcomes,
     milliseconds: Math.round(now - request.arrivedAt),
--- a/src/router/request/request-ticks.ts
+++ b/src/router/request/request-ticks.ts
@@ -26,7 +26,7 @@
 /** Cancels the request of a caller that closed its connection. */
 export function receiveCallerLeft(context: RouterContext, event: CallerLeftEvent): void {
   const { state } = context;
-  const { requestId, attemptId, isTakenIn } = event;
+  const { requestId, attemptId, isArrivalReported: isTakenIn } = event;
   if (!isTakenIn) {
     state.counters.callers_left_unread += 1;
     context.log('caller_left', {
@@ -37,7 +37,7 @@
     });
     return;
   }
-  state.early.delete(requestId);
+  state.earlyRequests.delete(requestId);
   const request = state.requests.get(requestId);
   if (request === undefined) {
     return;
--- a/src/router/server-directory.ts
+++ b/src/router/server-directory.ts
@@ -1,9 +1,9 @@
-/** Takes configurations and the list of servers in. Neither ever goes back. */
+/** Applies configurations and updates of the server list. Neither is ever replaced by an older version. */
 import type { ConfigurationEvent, ServersListedEvent } from './events.js';
 import type { LogEventName } from './log-events.js';
 import type { Milliseconds, ServerId, ServiceName } from './model/identifiers.js';
 import { RouteTable } from './model/route-table.js';
-import { instanceOf } from './model/server-life.js';
+import { instanceOf } from './model/server-incarnation.js';
 import type { ServerDescription } from './model/server.js';
 import type { UpdateSource, ServerChange } from './peers/messages.js';
 import { Permits } from './limits/permits.js';
@@ -14,7 +14,7 @@
 import type { RouterContext } from './router-context.js';
 import type { KnownServer } from './router-state.js';
 
-/** A configuration was read. Returns whether it is newer than the one in force. */
+/** Applies a configuration if it is newer than the current one. Returns whether it is. */
 export function receiveConfiguration(
   context: RouterContext,
   event: ConfigurationEvent,
@@ -35,9 +35,9 @@
   return true;
 }
 
-/** Whether a change says something new. An entry that was written before the one that is known says nothing, whatever its life. */
-function differs({ state }: RouterContext, { id, server }: ServerChange): boolean {
-  const life = state.lives.get(id);
+/** Returns whether a change is new. An entry that is older than the known one is not, whichever incarnation it describes. */
+function isNewChange({ state }: RouterContext, { id, server }: ServerChange): boolean {
+  const life = state.serverIdsByInstance.get(id);
   const known = life === undefined ? undefined : state.servers.get(life)?.server;
   if (known === undefined || server === null) {
     return known !== undefined || server !== null;
@@ -48,19 +48,19 @@
   );
 }
 
-/** All servers were listed. Returns what differs from what was known; null when more is known already. */
+/** Applies a complete server list. Returns the entries that differ; null: a later revision is known already. */
 export function receiveServersListed(
   context: RouterContext,
   { servers, revision }: ServersListedEvent,
 ): ServerChange[] | null {
-  const listed = servers.map(changeTo);
+  const listed = servers.map(toServerChange);
   const names = new Set(listed.map(({ id }) => id));
-  const gone = [...context.state.lives.keys()].filter((id) => !names.has(id));
+  const gone = [...context.state.serverIdsByInstance.keys()].filter((id) => !names.has(id));
   const changes: ServerChange[] = [...gone.map((id) => ({ id, server: null })), ...listed];
   return receiveServerChanges(context, changes, revision);
 }
 
-/** Takes in changes up to a revision. Returns those that differ from what was known; null when more is known already. */
+/** Applies server changes up to a revision. Returns those that are new; null: a later revision is known already. */
 export function receiveServerChanges(
   context: RouterContext,
   changes: readonly ServerChange[],
@@ -72,31 +72,31 @@
   }
   const isFirstList = state.serversRevision === null;
   state.serversRevision = revision;
-  const effective = changes.filter((change) => differs(context, change));
+  const effective = changes.filter((change) => isNewChange(context, change));
   for (const { id, server } of effective) {
-    const former = state.lives.get(id);
+    const former = state.serverIdsByInstance.get(id);
     if (former !== undefined && former !== server?.id) {
       removeServer(context, former, revision);
     }
     if (server !== null) {
-      state.lives.set(id, server.id);
-      putServer(context, server, revision, isFirstList);
+      state.serverIdsByInstance.set(id, server.id);
+      addOrUpdateServer(context, server, revision, isFirstList);
     }
   }
   if (isFirstList) {
-    // One line for all: hundreds of servers are listed at each start.
+    // One log line for all servers: hundreds of servers are listed at each start.
     context.log('servers_listed', { servers: effective.length, revision });
   }
   return effective;
 }
 
-/** The change that an entry makes. */
-export function changeTo(server: ServerDescription): ServerChange {
+/** Returns the change that adds or updates a server's entry. */
+export function toServerChange(server: ServerDescription): ServerChange {
   return { id: instanceOf(server.id), server };
 }
 
 function removeServer(context: RouterContext, id: ServerId, revision: number): void {
-  const { servers, lives, serversByService, counters } = context.state;
+  const { servers, serverIdsByInstance: lives, serversByService, counters } = context.state;
   const known = servers.get(id);
   if (known !== undefined) {
     servers.delete(id);
@@ -108,8 +108,8 @@
   }
 }
 
-function profileOf(context: RouterContext, service: ServiceName): ServiceProfile {
-  const { profiles } = context.state;
+function getOrCreateProfile(context: RouterContext, service: ServiceName): ServiceProfile {
+  const { serviceProfiles: profiles } = context.state;
   let profile = profiles.get(service);
   if (profile === undefined) {
     profile = new ServiceProfile();
@@ -118,7 +118,7 @@
   return profile;
 }
 
-function putServer(
+function addOrUpdateServer(
   context: RouterContext,
   server: ServerDescription,
   revision: number,
@@ -131,12 +131,12 @@
     const phase = context.state.random.fraction();
     const added: KnownServer = {
       server,
-      load: new ServerLoad(profileOf(context, server.service), server.slots, context.state.daemons),
+      load: new ServerLoad(getOrCreateProfile(context, server.service), server.slots, context.state.daemons),
       coldUntil: context.now + server.warmupLeft,
       coldTurns: new SendWindows(phase),
       permits: new Permits(phase),
       rest: new ServerBackOff(),
-      knownSince: context.now,
+      firstSeenAt: context.now,
       drainingSince: drainingSince(context, server),
     };
     servers.set(server.id, added);
@@ -144,15 +144,15 @@
     ofService.set(server.id, added);
     serversByService.set(server.service, ofService);
     if (!isFirstList) {
-      noteChange(context, 'server_added', server, revision);
+      logServerChange(context, 'server_added', server, revision);
     }
     return;
   }
   if (server.draining !== known.server.draining) {
-    noteChange(context, server.draining ? 'server_draining' : 'server_ready', server, revision);
+    logServerChange(context, server.draining ? 'server_draining' : 'server_ready', server, revision);
   }
   if (server.revision !== known.server.revision) {
-    // Later entries know better; one that still tells of an earlier moment is taken as if it were new.
+    // A later entry is more accurate. Its remaining warm-up counts from now, although the entry may be older.
     known.coldUntil = context.now + server.warmupLeft;
   }
   known.server = server;
@@ -160,15 +160,15 @@
     known.drainingSince === null || !server.draining ? drainingSince(context, server) : known.drainingSince;
 }
 
-/** Since when a server leaves that this daemon has just heard of, or whose entry has changed. */
+/** Returns since when a server is draining that is new to this daemon or whose entry has changed; null: it is not draining. */
 function drainingSince(
   { state, now }: RouterContext,
   { id, draining }: ServerDescription,
 ): Milliseconds | null {
-  return state.leaving.drainingSince(id) ?? (draining ? now : null);
+  return state.drainingServers.drainingSince(id) ?? (draining ? now : null);
 }
 
-function noteChange(
+function logServerChange(
   context: RouterContext,
   event: LogEventName,
   server: ServerDescription,
--- a/src/router/tree/children.ts
+++ b/src/router/tree/children.ts
@@ -1,5 +1,5 @@
 /** Handles the reports of this daemon's children: merges their data, sends the updates that they lack, and redirects new ones to relays. */
-import { noteVersionsOf } from '../feed-lag.js';
+import { comparePeerVersions } from '../feed-lag.js';
 import { sendUpdatesSince } from '../news/store-updates.js';
 import { applyEvacuations } from '../news/apply-evacuations.js';
 import { createNoticeSnapshots } from '../notices/notice-snapshots.js';
@@ -19,7 +19,7 @@
   context.state.tree.started.push(...report.started);
   context.state.tree.rests.push(...report.rests);
   if (context.state.leadership !== null) {
-    noteVersionsOf(context, report);
+    comparePeerVersions(context, report);
   }
   if (report.overloaded || report.rests.length > 0) {
     reportOverload(context);
@@ -77,7 +77,7 @@
 }
 
 function sendMissedUpdates(context: RouterContext, link: number, child: Child, report: Report): void {
-  const { view, leadership, election } = context.state;
+  const { ownershipView: view, leadership, election } = context.state;
   const isCurrent = view.term > 0 && view.term === (leadership?.term ?? election.leader?.term);
   const isChanging = leadership?.viewChanged === true;
   if (isCurrent && report.ownershipSequence !== view.sequence && !isChanging) {
--- a/src/router/tree/reports.ts
+++ b/src/router/tree/reports.ts
@@ -98,7 +98,8 @@
       configurationVersion: state.configuration?.version ?? 0,
       serversRevision: state.newestServerRevision,
       serversPosition: state.serversRevision ?? 0,
-      ownershipSequence: state.view.term === election.leader?.term ? state.view.sequence : 0,
+      ownershipSequence:
+        state.ownershipView.term === election.leader?.term ? state.ownershipView.sequence : 0,
       daemons: 1 + countDescendants(state.tree, now),
       started,
       overloaded,
--- a/test/platform/test-documents.ts
+++ b/test/platform/test-documents.ts
@@ -2,7 +2,7 @@
 import { describe, it } from 'node:test';
 import fc from 'fast-check';
 import { readConfiguration, readServer } from '../../platform/documents.js';
-import { instanceOf } from '../../src/router/model/server-life.js';
+import { instanceOf } from '../../src/router/model/server-incarnation.js';
 
 const ROUTE = {
   name: 'r',
--- a/test/platform/test-server-api.ts
+++ b/test/platform/test-server-api.ts
@@ -10,7 +10,7 @@
 import type { ControlListener } from '../../src/router/ports.js';
 
 /** For calls whose answers' notices don't matter. */
-const IGNORE: ControlListener = { noticed: () => undefined, limitRead: () => undefined };
+const IGNORE: ControlListener = { onNotice: () => undefined, onLimitRead: () => undefined };
 const EMPTY_ANSWER = 'HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n';
 const LONG_PATIENCE = 30_000;
 const SHORT_PATIENCE = 60;
@@ -33,7 +33,7 @@
     server: 'i-1',
     address,
     ...keys,
-    patience,
+    timeout: patience,
     healthPath: '/h',
   };
 }
@@ -127,8 +127,8 @@
     const notices: ServerNotice[] = [];
     const limits: LimitReading[] = [];
     const listener: ControlListener = {
-      noticed: (notice) => notices.push(notice),
-      limitRead: (limit) => limits.push(limit),
+      onNotice: (notice) => notices.push(notice),
+      onLimitRead: (limit) => limits.push(limit),
     };
     await api.call(grant(LONG_PATIENCE), listener);
     await api.call({ ...grant(LONG_PATIENCE), action: 'probe' }, listener);
--- a/test/router-runtime/test-lazy-fingerprint.ts
+++ b/test/router-runtime/test-lazy-fingerprint.ts
@@ -1,7 +1,7 @@
 import { expect } from 'earl';
 import { describe, it } from 'node:test';
 import { LazyFingerprint } from '../../src/router-runtime/lazy-fingerprint.js';
-import { HEAD_CHARACTERS, headOf } from '../../src/router/model/request-fingerprint.js';
+import { FINGERPRINT_HEAD_LENGTH, fingerprintHead } from '../../src/router/model/request-fingerprint.js';
 
 const PARTS = {
   method: 'POST',
@@ -34,8 +34,8 @@
   it('begins with its head, which does not depend on what is in the body', () => {
     const fingerprint = new LazyFingerprint(PARTS);
     const other = new LazyFingerprint({ ...PARTS, body: Buffer.from('abd') });
-    expect(fingerprint.value.length).toEqual(2 * HEAD_CHARACTERS);
-    expect(headOf(fingerprint.value)).toEqual(other.head);
+    expect(fingerprint.value.length).toEqual(2 * FINGERPRINT_HEAD_LENGTH);
+    expect(fingerprintHead(fingerprint.value)).toEqual(other.head);
   });
 
   it('tells nothing of the parts', () => {
--- a/test/router/limits/test-limit-sharing.ts
+++ b/test/router/limits/test-limit-sharing.ts
@@ -1,8 +1,8 @@
 /** How much of a rate limit is used with few and many daemons, and that servers receive no more than it allows. */
 import { expect } from 'earl';
 import { describe, it } from 'node:test';
-import { allowed, LimitDay } from '../support/limit-day.js';
-import type { ModelServer } from '../support/model-server.js';
+import { maxRequestsInWindow, LimitSimulation } from '../support/limit-simulation.js';
+import type { SimulatedServer } from '../support/simulated-server.js';
 
 const SERVERS = 6;
 /** Demand as a multiple of the limits: far more requests than the limits allow. */
@@ -23,11 +23,19 @@
 function simulateAllLimited(daemons: number, asked: number, limit: number, isPlain: boolean): LimitUse {
   const demand = SERVERS * limit * DEMAND_FACTOR;
   const plainServers = isPlain ? SERVERS : 0;
-  const day = new LimitDay({ seed: 1, daemons, servers: SERVERS, plainServers, demand, asked, isPlain });
-  const servers = day.world.servers.slice(plainServers === 0 ? 0 : SERVERS);
+  const day = new LimitSimulation({
+    seed: 1,
+    daemons,
+    servers: SERVERS,
+    balancedServers: plainServers,
+    demand,
+    requestedDaemons: asked,
+    usesBalancedService: isPlain,
+  });
+  const servers = day.simulation.servers.slice(plainServers === 0 ? 0 : SERVERS);
   servers.forEach((server) => day.limit(server, limit));
   const usedSince = (from: number): number =>
-    servers.reduce((sum, server) => sum + day.sendsTo(server, from).length, 0) / (SERVERS * limit);
+    servers.reduce((sum, server) => sum + day.deliveriesTo(server, from).length, 0) / (SERVERS * limit);
   const begin = day.now;
   day.run(SECOND);
   const firstSecond = usedSince(begin);
@@ -45,7 +53,7 @@
       it(`is used and not exceeded with ${daemons} daemons that all have too many requests for ${serverType}`, () => {
         const { fromThirdSecond, mostInWindow } = simulateAllLimited(daemons, daemons, 3, isPlain);
         expect(fromThirdSecond >= 0.9 && fromThirdSecond <= 1.05).toEqual(true);
-        expect(mostInWindow <= allowed(3)).toEqual(true);
+        expect(mostInWindow <= maxRequestsInWindow(3)).toEqual(true);
       });
     }
 
@@ -53,23 +61,23 @@
       const { firstSecond, fromThirdSecond, mostInWindow } = simulateAllLimited(11, 1, 3, isPlain);
       expect(firstSecond >= 0.5).toEqual(true);
       expect(fromThirdSecond >= 0.9).toEqual(true);
-      expect(mostInWindow <= allowed(3)).toEqual(true);
+      expect(mostInWindow <= maxRequestsInWindow(3)).toEqual(true);
     });
   }
 
   it('is used with a low limit: one request in two seconds for 40 daemons', () => {
     const { fromThirdSecond, mostInWindow } = simulateAllLimited(40, 40, 0.5, false);
     expect(fromThirdSecond >= 0.8).toEqual(true);
-    expect(mostInWindow <= allowed(0.5)).toEqual(true);
+    expect(mostInWindow <= maxRequestsInWindow(0.5)).toEqual(true);
   });
 
   it('delays no request that it cannot serve in time: the request is rejected at once with a retry time', () => {
-    const day = new LimitDay({ seed: 2, daemons: 11, servers: SERVERS, demand: 120 });
-    day.world.servers.forEach((server: ModelServer) => day.limit(server, 2));
+    const day = new LimitSimulation({ seed: 2, daemons: 11, servers: SERVERS, demand: 120 });
+    day.simulation.servers.forEach((server: SimulatedServer) => day.limit(server, 2));
     day.run(2_000);
-    const before = day.traffic.waits.length;
+    const before = day.traffic.responseTimes.length;
     day.run(4_000);
-    const refused = day.traffic.waits.slice(before).filter(({ status }) => status === 503);
+    const refused = day.traffic.responseTimes.slice(before).filter(({ status }) => status === 503);
     expect(refused.length > 100).toEqual(true);
     const mean = refused.reduce((sum, { waited }) => sum + waited, 0) / refused.length;
     expect(mean < 10).toEqual(true);
--- a/test/router/limits/test-limit-spread.ts
+++ b/test/router/limits/test-limit-spread.ts
@@ -4,7 +4,7 @@
  */
 import { expect } from 'earl';
 import { describe, it } from 'node:test';
-import { type Daemon, RouterWorld } from '../support/router-world.js';
+import { type SimulatedDaemon, RouterSimulation } from '../support/router-simulation.js';
 
 const SETTLED_AT = 6_000;
 /** Time in ms within which an update reaches all daemons under a stable leader. */
@@ -12,27 +12,27 @@
 const SERVER = 's2';
 
 /** Delivers to a daemon a server's response that announces a limit, or none. */
-function deliverResponse(world: RouterWorld, daemon: Daemon, reading: number | null): void {
+function deliverResponse(world: RouterSimulation, daemon: SimulatedDaemon, reading: number | null): void {
   const now = daemon.clock.now();
   world.deliver(daemon, { kind: 'serverLimitRead', server: SERVER, reading, sentAt: now - 0.5 });
 }
 
-function follower(world: RouterWorld): Daemon {
-  return world.daemons.find(({ state }) => state.leadership === null) as Daemon;
+function follower(world: RouterSimulation): SimulatedDaemon {
+  return world.daemons.find(({ state }) => state.leadership === null) as SimulatedDaemon;
 }
 
-function limits(world: RouterWorld): (number | null)[] {
+function limits(world: RouterSimulation): (number | null)[] {
   return world.daemons.map(({ state }) => state.limits.of(SERVER));
 }
 
 /** Makes the server announce the same limit in its responses to control calls as the tests deliver to daemons. */
-function announceLimit(world: RouterWorld, rate: number | null): void {
+function announceLimit(world: RouterSimulation, rate: number | null): void {
   world.servers.filter(({ id }) => id === SERVER).forEach((server) => (server.limit = rate));
 }
 
 describe('the propagation of a limit', () => {
   it('reaches every daemon when the limit begins, changes and ends', () => {
-    const world = new RouterWorld(3, 6, 5);
+    const world = new RouterSimulation(3, 6, 5);
     world.clock.runUntil(SETTLED_AT);
     for (const rate of [3, 1.5, 6, 0, null]) {
       announceLimit(world, rate);
@@ -43,16 +43,16 @@
   });
 
   it('reaches each of 40 daemons through relays', () => {
-    const world = new RouterWorld(4, 40, 5);
+    const world = new RouterSimulation(4, 40, 5);
     world.clock.runUntil(SETTLED_AT);
     announceLimit(world, 3);
-    deliverResponse(world, world.daemons.at(-1) as Daemon, 3);
+    deliverResponse(world, world.daemons.at(-1) as SimulatedDaemon, 3);
     world.clock.runUntil(SETTLED_AT + PROPAGATION_TIME);
     expect(limits(world)).toEqual(world.daemons.map(() => 3));
   });
 
   it('starts from the responses to the control calls of the leader if the server receives no requests', () => {
-    const world = new RouterWorld(5, 6, 5);
+    const world = new RouterSimulation(5, 6, 5);
     world.clock.runUntil(SETTLED_AT);
     announceLimit(world, 3);
     world.clock.runUntil(SETTLED_AT + 1_000);
@@ -63,7 +63,7 @@
   });
 
   it('works while the store is unreachable', () => {
-    const world = new RouterWorld(6, 6, 5);
+    const world = new RouterSimulation(6, 6, 5);
     world.clock.runUntil(SETTLED_AT);
     world.daemons.forEach((daemon) => (daemon.storeReachable = false));
     world.clock.runUntil(SETTLED_AT + 2_000);
@@ -74,7 +74,7 @@
   });
 
   it('reaches a daemon that restarts', () => {
-    const world = new RouterWorld(7, 6, 5);
+    const world = new RouterSimulation(7, 6, 5);
     world.clock.runUntil(SETTLED_AT);
     const daemon = follower(world);
     announceLimit(world, 3);
@@ -86,9 +86,9 @@
   });
 
   it('keeps the limit, when two daemons read different values, until a later request shows its end', () => {
-    const world = new RouterWorld(8, 6, 5);
+    const world = new RouterSimulation(8, 6, 5);
     world.clock.runUntil(SETTLED_AT);
-    const [first, second] = world.daemons as [Daemon, Daemon];
+    const [first, second] = world.daemons as [SimulatedDaemon, SimulatedDaemon];
     announceLimit(world, 3);
     deliverResponse(world, first, 3);
     world.clock.runUntil(SETTLED_AT + PROPAGATION_TIME);
@@ -101,7 +101,7 @@
   });
 
   it('sends only changes: an unchanged limit causes no further updates', () => {
-    const world = new RouterWorld(9, 6, 5);
+    const world = new RouterSimulation(9, 6, 5);
     world.clock.runUntil(SETTLED_AT);
     announceLimit(world, 3);
     world.clock.runUntil(SETTLED_AT + 5_000);
--- a/test/router/limits/test-limit-troubles.ts
+++ b/test/router/limits/test-limit-troubles.ts
@@ -2,39 +2,43 @@
 import { expect } from 'earl';
 import { describe, it } from 'node:test';
 import { SeededRandom } from '../../../src/core/random.js';
-import { allowed, LimitDay, type LimitDayOptions } from '../support/limit-day.js';
-import type { ModelServer } from '../support/model-server.js';
-import type { Daemon } from '../support/router-world.js';
-
-const DEFAULTS: LimitDayOptions = { seed: 1, daemons: 11, servers: 6, demand: 90 };
+import {
+  maxRequestsInWindow,
+  LimitSimulation,
+  type LimitSimulationOptions,
+} from '../support/limit-simulation.js';
+import type { SimulatedServer } from '../support/simulated-server.js';
+import type { SimulatedDaemon } from '../support/router-simulation.js';
+
+const DEFAULTS: LimitSimulationOptions = { seed: 1, daemons: 11, servers: 6, demand: 90 };
 const LIMIT = 3;
 
-function startLimited(options: Partial<LimitDayOptions> = {}): {
-  day: LimitDay;
-  servers: readonly ModelServer[];
+function startLimited(options: Partial<LimitSimulationOptions> = {}): {
+  day: LimitSimulation;
+  servers: readonly SimulatedServer[];
 } {
-  const day = new LimitDay({ ...DEFAULTS, ...options });
-  const { servers } = day.world;
+  const day = new LimitSimulation({ ...DEFAULTS, ...options });
+  const { servers } = day.simulation;
   servers.forEach((server) => day.limit(server, LIMIT));
   day.run(3_000);
   return { day, servers };
 }
 
-function expectRespected(day: LimitDay, servers: readonly ModelServer[], limit = LIMIT): void {
+function expectRespected(day: LimitSimulation, servers: readonly SimulatedServer[], limit = LIMIT): void {
   for (const server of servers) {
-    expect(day.counted(server) <= allowed(limit)).toEqual(true);
+    expect(day.counted(server) <= maxRequestsInWindow(limit)).toEqual(true);
   }
-  expect(day.world.checker.violations).toEqual([]);
+  expect(day.simulation.checker.violations).toEqual([]);
 }
 
 /** Returns the requests per second at all servers since a time. */
-function rateSince(day: LimitDay, servers: readonly ModelServer[], from: number): number {
-  const sends = servers.reduce((sum, server) => sum + day.sendsTo(server, from).length, 0);
+function rateSince(day: LimitSimulation, servers: readonly SimulatedServer[], from: number): number {
+  const sends = servers.reduce((sum, server) => sum + day.deliveriesTo(server, from).length, 0);
   return (sends * 1_000) / (day.now - from);
 }
 
-function leaderOf(day: LimitDay): Daemon {
-  return day.world.leader() as Daemon;
+function leaderOf(day: LimitSimulation): SimulatedDaemon {
+  return day.simulation.leader() as SimulatedDaemon;
 }
 
 describe('rate limits during failures', () => {
@@ -49,19 +53,19 @@
   });
 
   it('are respected and used during an outage of the store', () => {
-    const { day, servers } = startLimited({ servers: 0, plainServers: 6, isPlain: true });
-    day.world.daemons.forEach((daemon) => (daemon.storeReachable = false));
+    const { day, servers } = startLimited({ servers: 0, balancedServers: 6, usesBalancedService: true });
+    day.simulation.daemons.forEach((daemon) => (daemon.storeReachable = false));
     const from = day.now;
     day.run(12_000);
     expect(rateSince(day, servers, from) > 0.8 * LIMIT * servers.length).toEqual(true);
-    day.world.daemons.forEach((daemon) => (daemon.storeReachable = true));
+    day.simulation.daemons.forEach((daemon) => (daemon.storeReachable = true));
     day.run(4_000);
     expectRespected(day, servers);
   });
 
   it('are respected when daemons are disconnected: they take equal shares, and the leader grants the rest', () => {
-    const { day, servers } = startLimited({ servers: 0, plainServers: 6, isPlain: true });
-    const cut = day.world.daemons.filter((daemon) => daemon !== leaderOf(day)).slice(0, 5);
+    const { day, servers } = startLimited({ servers: 0, balancedServers: 6, usesBalancedService: true });
+    const cut = day.simulation.daemons.filter((daemon) => daemon !== leaderOf(day)).slice(0, 5);
     cut.forEach((daemon) => (daemon.peersReachable = false));
     const from = day.now;
     day.run(8_000);
@@ -73,10 +77,10 @@
 
   it('are respected when daemons are restarted one after the other', () => {
     const { day, servers } = startLimited();
-    for (const daemon of [...day.world.daemons]) {
+    for (const daemon of [...day.simulation.daemons]) {
       daemon.alive = false;
       day.run(300);
-      day.world.startDaemon(daemon);
+      day.simulation.startDaemon(daemon);
       day.run(700);
     }
     expectRespected(day, servers);
@@ -84,8 +88,8 @@
 
   it('are respected when daemons are suspended and resume with unused permits', () => {
     const { day, servers } = startLimited();
-    for (const daemon of day.world.daemons.slice(0, 6)) {
-      day.world.suspend(daemon, 1_500);
+    for (const daemon of day.simulation.daemons.slice(0, 6)) {
+      day.simulation.suspend(daemon, 1_500);
       day.run(400);
     }
     day.run(4_000);
@@ -94,10 +98,10 @@
 
   it('are respected when the number of daemons doubles', () => {
     const { day, servers } = startLimited({ daemons: 20 });
-    const late = day.world.daemons.filter((daemon) => daemon !== leaderOf(day)).slice(0, 10);
+    const late = day.simulation.daemons.filter((daemon) => daemon !== leaderOf(day)).slice(0, 10);
     late.forEach((daemon) => (daemon.alive = false));
     day.run(12_000);
-    late.forEach((daemon) => day.world.startDaemon(daemon));
+    late.forEach((daemon) => day.simulation.startDaemon(daemon));
     day.run(6_000);
     expectRespected(day, servers);
   });
@@ -109,7 +113,10 @@
       const choices = [0, 0.5, 1.25, 2, LIMIT];
       for (let step = 0; step < 30; step += 1) {
         const [server] = random.fraction() < 0.5 ? servers : [...servers].reverse();
-        day.limit(server as ModelServer, choices[Math.floor(random.fraction() * choices.length)] as number);
+        day.limit(
+          server as SimulatedServer,
+          choices[Math.floor(random.fraction() * choices.length)] as number,
+        );
         day.run(100 + random.fraction() * 700);
       }
       expectRespected(day, servers);
@@ -117,13 +124,19 @@
       day.run(8_000);
       const from = day.now;
       day.run(3_000);
-      expect(day.served(from) > 0.95).toEqual(true);
+      expect(day.answeredShare(from) > 0.95).toEqual(true);
     }
   });
 
   it('of zero allow occasional trial requests, whose responses show the end of the limit', () => {
-    const day = new LimitDay({ ...DEFAULTS, servers: 0, plainServers: 3, isPlain: true, demand: 40 });
-    const { servers } = day.world;
+    const day = new LimitSimulation({
+      ...DEFAULTS,
+      servers: 0,
+      balancedServers: 3,
+      usesBalancedService: true,
+      demand: 40,
+    });
+    const { servers } = day.simulation;
     servers.forEach((server) => day.limit(server, 0));
     day.run(10_000);
     expectRespected(day, servers, 0);
@@ -131,16 +144,23 @@
     day.run(6_000);
     const from = day.now;
     day.run(3_000);
-    expect(day.served(from) > 0.95).toEqual(true);
+    expect(day.answeredShare(from) > 0.95).toEqual(true);
   });
 
   it('are found to have ended at servers that receive no requests', () => {
-    const day = new LimitDay({ ...DEFAULTS, servers: 0, plainServers: 4, isPlain: true, demand: 20 });
-    const [server] = day.world.servers as [ModelServer];
+    const day = new LimitSimulation({
+      ...DEFAULTS,
+      servers: 0,
+      balancedServers: 4,
+      usesBalancedService: true,
+      demand: 20,
+    });
+    const [server] = day.simulation.servers as [SimulatedServer];
     day.limit(server, 1);
     day.run(2_000);
-    day.world.drain(server.id);
-    const isKnown = (): boolean => day.world.daemons.some(({ state }) => state.limits.of(server.id) !== null);
+    day.simulation.drain(server.id);
+    const isKnown = (): boolean =>
+      day.simulation.daemons.some(({ state }) => state.limits.of(server.id) !== null);
     day.run(1_000);
     expect(isKnown()).toEqual(true);
     day.limit(server, null);
@@ -150,26 +170,26 @@
 
   it('do not apply to a new incarnation of a server with the same name', () => {
     const { day } = startLimited();
-    const [server] = day.world.servers as [ModelServer];
-    const daemon = day.world.daemons[3] as Daemon;
+    const [server] = day.simulation.servers as [SimulatedServer];
+    const daemon = day.simulation.daemons[3] as SimulatedDaemon;
     expect(daemon.state.limits.of(server.id)).toEqual(LIMIT);
     expect(daemon.state.limits.of(`${server.id}#7`)).toEqual(null);
   });
 
   it('are respected by a daemon that knows no other daemon, from its first response on', () => {
-    const day = new LimitDay({
+    const day = new LimitSimulation({
       ...DEFAULTS,
       daemons: 1,
       servers: 0,
-      plainServers: 1,
-      isPlain: true,
+      balancedServers: 1,
+      usesBalancedService: true,
       demand: 30,
     });
-    const [server] = day.world.servers as [ModelServer];
-    day.world.daemons.forEach((daemon) => (daemon.storeReachable = false));
+    const [server] = day.simulation.servers as [SimulatedServer];
+    day.simulation.daemons.forEach((daemon) => (daemon.storeReachable = false));
     day.limit(server, LIMIT);
     day.run(10_000);
-    expect(day.sendsTo(server, day.now - 8_000).length <= LIMIT * 8 + 2).toEqual(true);
+    expect(day.deliveriesTo(server, day.now - 8_000).length <= LIMIT * 8 + 2).toEqual(true);
     expectRespected(day, [server]);
   });
 });
--- a/test/router/limits/test-limit-world.ts
+++ b/test/router/limits/test-limit-world.ts
@@ -5,22 +5,22 @@
  */
 import { expect } from 'earl';
 import { describe, it } from 'node:test';
-import { allowed, LimitDay } from '../support/limit-day.js';
-import type { ModelServer } from '../support/model-server.js';
+import { maxRequestsInWindow, LimitSimulation } from '../support/limit-simulation.js';
+import type { SimulatedServer } from '../support/simulated-server.js';
 
 const LIMITED_TIME = 10_000;
 
 describe('key owners that announce a rate limit', () => {
   it('receive no more than the limit from daemons that know it', () => {
     for (let seed = 1; seed <= 3; seed += 1) {
-      const day = new LimitDay({ seed, daemons: 11, servers: 14, demand: 150 });
-      const [first, second] = day.world.servers as [ModelServer, ModelServer];
+      const day = new LimitSimulation({ seed, daemons: 11, servers: 14, demand: 150 });
+      const [first, second] = day.simulation.servers as [SimulatedServer, SimulatedServer];
       day.limit(first, 3);
       day.limit(second, 3.5);
       day.run(LIMITED_TIME);
-      expect(day.counted(first) <= allowed(3)).toEqual(true);
-      expect(day.counted(second) <= allowed(3.5)).toEqual(true);
-      expect(day.world.checker.violations).toEqual([]);
+      expect(day.counted(first) <= maxRequestsInWindow(3)).toEqual(true);
+      expect(day.counted(second) <= maxRequestsInWindow(3.5)).toEqual(true);
+      expect(day.simulation.checker.violations).toEqual([]);
     }
   });
 });
@@ -28,11 +28,18 @@
 describe('servers without keys that announce a rate limit', () => {
   it('receive no more than the limit from daemons that know it', () => {
     for (let seed = 1; seed <= 3; seed += 1) {
-      const day = new LimitDay({ seed, daemons: 11, servers: 3, plainServers: 6, demand: 90, isPlain: true });
-      const limited = day.world.servers.slice(3, 5) as [ModelServer, ModelServer];
+      const day = new LimitSimulation({
+        seed,
+        daemons: 11,
+        servers: 3,
+        balancedServers: 6,
+        demand: 90,
+        usesBalancedService: true,
+      });
+      const limited = day.simulation.servers.slice(3, 5) as [SimulatedServer, SimulatedServer];
       limited.forEach((server) => day.limit(server, 3));
       day.run(LIMITED_TIME);
-      limited.forEach((server) => expect(day.counted(server) <= allowed(3)).toEqual(true));
+      limited.forEach((server) => expect(day.counted(server) <= maxRequestsInWindow(3)).toEqual(true));
     }
   });
 });
--- a/test/router/limits/test-limited-owners.ts
+++ b/test/router/limits/test-limited-owners.ts
@@ -5,8 +5,8 @@
  */
 import { expect } from 'earl';
 import { describe, it } from 'node:test';
-import { allowed, LimitDay } from '../support/limit-day.js';
-import type { ModelServer } from '../support/model-server.js';
+import { maxRequestsInWindow, LimitSimulation } from '../support/limit-simulation.js';
+import type { SimulatedServer } from '../support/simulated-server.js';
 
 const DEFAULTS = { daemons: 11, servers: 14, demand: 150 };
 const LIMITED_TIME = 10_000;
@@ -14,8 +14,8 @@
 const MOVE_TIME = 1_500;
 
 /** Returns the number of units granted to a server since a time. */
-function unitsGrantedTo(day: LimitDay, server: ModelServer, from: number): number {
-  return day.world.events.filter(
+function unitsGrantedTo(day: LimitSimulation, server: SimulatedServer, from: number): number {
+  return day.simulation.events.filter(
     (line) =>
       line.includes(' unit_granted ') &&
       line.includes(`"owner":"${server.id}"`) &&
@@ -26,45 +26,47 @@
 describe('keys of an owner that announces a rate limit', () => {
   it('move to owners that have capacity', () => {
     for (let seed = 1; seed <= 3; seed += 1) {
-      const day = new LimitDay({ ...DEFAULTS, seed });
-      const [first, second] = day.world.servers as [ModelServer, ModelServer];
+      const day = new LimitSimulation({ ...DEFAULTS, seed });
+      const [first, second] = day.simulation.servers as [SimulatedServer, SimulatedServer];
       day.limit(first, 3);
       day.limit(second, 3.5);
       day.run(MOVE_TIME);
       const from = day.now;
       day.run(LIMITED_TIME);
-      expect(day.served(from) > 0.97).toEqual(true);
-      expect(day.counted(first) <= allowed(3)).toEqual(true);
-      expect(day.world.checker.violations).toEqual([]);
+      expect(day.answeredShare(from) > 0.97).toEqual(true);
+      expect(day.counted(first) <= maxRequestsInWindow(3)).toEqual(true);
+      expect(day.simulation.checker.violations).toEqual([]);
     }
   });
 
   it('all move away if the limit is zero', () => {
-    const day = new LimitDay({ ...DEFAULTS, seed: 4 });
-    const [server] = day.world.servers as [ModelServer];
+    const day = new LimitSimulation({ ...DEFAULTS, seed: 4 });
+    const [server] = day.simulation.servers as [SimulatedServer];
     day.limit(server, 0);
     day.run(MOVE_TIME);
     const from = day.now;
     day.run(LIMITED_TIME);
-    expect(day.served(from) > 0.98).toEqual(true);
-    const owned = day.world.leader()?.state.view.units.filter(({ owner }) => owner === server.id);
+    expect(day.answeredShare(from) > 0.98).toEqual(true);
+    const owned = day.simulation
+      .leader()
+      ?.state.ownershipView.units.filter(({ owner }) => owner === server.id);
     expect(owned).toEqual([]);
   });
 
   it('move even if the demand for a single key exceeds the limit', () => {
     const keys = [7];
-    const day = new LimitDay({ seed: 5, daemons: 11, servers: 6, demand: 12, keys });
-    const owner = day.world.leader()?.state.view.unitOf('racks', 7)?.owner;
-    day.limit(day.world.servers.find(({ id }) => id === owner) as ModelServer, 3);
+    const day = new LimitSimulation({ seed: 5, daemons: 11, servers: 6, demand: 12, keys });
+    const owner = day.simulation.leader()?.state.ownershipView.unitOf('racks', 7)?.owner;
+    day.limit(day.simulation.servers.find(({ id }) => id === owner) as SimulatedServer, 3);
     day.run(MOVE_TIME);
     const from = day.now;
     day.run(LIMITED_TIME);
-    expect(day.served(from) > 0.98).toEqual(true);
+    expect(day.answeredShare(from) > 0.98).toEqual(true);
   });
 
   it('do not return each time that the limit ends for a second', () => {
-    const day = new LimitDay({ ...DEFAULTS, seed: 6 });
-    const [server] = day.world.servers as [ModelServer];
+    const day = new LimitSimulation({ ...DEFAULTS, seed: 6 });
+    const [server] = day.simulation.servers as [SimulatedServer];
     day.limit(server, 3);
     day.run(MOVE_TIME + 1_000);
     const from = day.now;
@@ -73,6 +75,6 @@
       day.run(1_000);
     }
     expect(unitsGrantedTo(day, server, from) <= 2).toEqual(true);
-    expect(day.served(from) > 0.97).toEqual(true);
+    expect(day.answeredShare(from) > 0.97).toEqual(true);
   });
 });
--- a/test/router/limits/test-unanswered-permits.ts
+++ b/test/router/limits/test-unanswered-permits.ts
@@ -52,19 +52,19 @@
   const end = daemon.now + length;
   while (daemon.now < end) {
     receiveLeaderHeartbeat(daemon);
-    daemon.ticksUntil(daemon.now + TICK);
+    daemon.tickUntil(daemon.now + TICK);
   }
 }
 
 describe('a permit that does not arrive', () => {
   it('delays no request while another server is available', () => {
     const daemon = startLimited();
-    daemon.arrive(1, '/read/a');
-    expect(daemon.only('forward')).toEqual([]);
-    expect(daemon.only('sendToParent').at(-1)?.message.kind).toEqual('permitAsk');
+    daemon.receiveRequest(1, '/read/a');
+    expect(daemon.effectsOfKind('forward')).toEqual([]);
+    expect(daemon.effectsOfKind('sendToParent').at(-1)?.message.kind).toEqual('permitAsk');
     wait(daemon, ANSWER_TIME);
-    expect(daemon.only('forward').map(({ server }) => server === 's1')).toEqual([false]);
-    expect(daemon.only('answer')).toEqual([]);
+    expect(daemon.effectsOfKind('forward').map(({ server }) => server === 's1')).toEqual([false]);
+    expect(daemon.effectsOfKind('answer')).toEqual([]);
   });
 
   it('is awaited if every server announces a limit, and requested only once', () => {
@@ -73,16 +73,16 @@
       daemon.event({ kind: 'serverLimitRead', server, reading: 3, sentAt: daemon.now - 1 });
     }
     daemon.effects = [];
-    daemon.arrive(1, '/read/a');
+    daemon.receiveRequest(1, '/read/a');
     wait(daemon, 60);
-    const asks = daemon.only('sendToParent').filter(({ message }) => message.kind === 'permitAsk');
+    const asks = daemon.effectsOfKind('sendToParent').filter(({ message }) => message.kind === 'permitAsk');
     expect(asks.length).toEqual(1);
-    expect(daemon.only('answer')).toEqual([]);
+    expect(daemon.effectsOfKind('answer')).toEqual([]);
   });
 
   it('lets its request be sent at once when it arrives after all', () => {
     const daemon = startLimited();
-    daemon.arrive(1, '/read/a');
+    daemon.receiveRequest(1, '/read/a');
     const message = {
       kind: 'permitAnswer',
       server: 's1',
@@ -93,6 +93,6 @@
       path: [],
     } as const;
     daemon.event({ kind: 'peerMessage', link: 0, message });
-    expect(daemon.only('forward').map(({ server }) => server)).toEqual(['s1']);
+    expect(daemon.effectsOfKind('forward').map(({ server }) => server)).toEqual(['s1']);
   });
 });
--- a/test/router/news/test-changes-in-force.ts
+++ b/test/router/news/test-changes-in-force.ts
@@ -13,7 +13,7 @@
  */
 import { expect } from 'earl';
 import { describe, it } from 'node:test';
-import { CONFIGURATION, RouterWorld, type Daemon } from '../support/router-world.js';
+import { CONFIGURATION, RouterSimulation, type SimulatedDaemon } from '../support/router-simulation.js';
 
 /** A change is in force within this time after its acknowledgement. */
 const CHANGE_BOUND = 2_000;
@@ -31,13 +31,13 @@
 const RESTART_DELAY = 500;
 
 /** Changes data of every feed: the configuration, a server's entry and the evacuated zones. */
-function changeEverything(world: RouterWorld, version: number): void {
+function changeEverything(world: RouterSimulation, version: number): void {
   world.configure({ ...CONFIGURATION, version });
-  world.resize('s1', version);
+  world.changeSlots('s1', version);
   world.evacuate([`elsewhere-${version}`]);
 }
 
-function feedsBehind({ state }: Daemon, version: number): string[] {
+function feedsBehind({ state }: SimulatedDaemon, version: number): string[] {
   const missing = [
     (state.configuration?.version ?? 0) < version ? 'configuration' : null,
     (state.servers.get('s1')?.server.slots ?? 0) < version ? 'servers' : null,
@@ -47,20 +47,24 @@
 }
 
 /** Returns the running daemons that lack a change, with the feeds in which they lack it. */
-function daemonsBehind(world: RouterWorld, version: number): string[] {
+function daemonsBehind(world: RouterSimulation, version: number): string[] {
   return world.daemons
     .filter(({ alive }) => alive)
     .flatMap((daemon) => feedsBehind(daemon, version).map((feed) => `${daemon.name}: ${feed}`));
 }
 
-function createSettledWorld(seed: number, daemons = 11): RouterWorld {
-  const world = new RouterWorld(seed, daemons, 6);
+function createSettledWorld(seed: number, daemons = 11): RouterSimulation {
+  const world = new RouterSimulation(seed, daemons, 6);
   world.clock.runUntil(SETTLING_TIME);
   return world;
 }
 
 /** Makes the store unavailable; meanwhile some daemons are killed and restarted half a second later. */
-function simulateOutage(world: RouterWorld, killed: readonly Daemon[], killedAfter = LATE_KILL_TIME): void {
+function simulateOutage(
+  world: RouterSimulation,
+  killed: readonly SimulatedDaemon[],
+  killedAfter = LATE_KILL_TIME,
+): void {
   const from = world.clock.now;
   world.store.downUntil = from + OUTAGE_TIME;
   world.clock.runUntil(from + killedAfter);
@@ -70,7 +74,7 @@
   world.clock.runUntil(from + OUTAGE_TIME);
 }
 
-function leaderOf(world: RouterWorld): Daemon {
+function leaderOf(world: RouterSimulation): SimulatedDaemon {
   const leader = world.leader();
   if (leader === undefined) {
     throw new Error('nobody leads');
@@ -79,7 +83,7 @@
 }
 
 /** Returns the leader and the other daemons that watch the store. */
-function storeWatchers(world: RouterWorld): Daemon[] {
+function storeWatchers(world: RouterSimulation): SimulatedDaemon[] {
   return world.daemons.filter(({ alive, state }) => alive && state.followsStore);
 }
 
@@ -89,7 +93,7 @@
 }
 
 /** Makes one change as soon as the store is back, then one every two seconds, and checks that each is in force in time. */
-function expectChangesInForce(world: RouterWorld): void {
+function expectChangesInForce(world: RouterSimulation): void {
   changeEverything(world, 2);
   world.clock.runUntil(world.clock.now + CONTACT_TIME);
   expect(daemonsBehind(world, 2)).toEqual([]);
@@ -122,7 +126,7 @@
   it('is in force in time when the connections of all watches stop responding', () => {
     for (let seed = 1; seed <= 6; seed += 1) {
       const world = createSettledWorld(seed);
-      world.silenceWatches();
+      world.blockWatches();
       changeEverything(world, 2);
       world.clock.runUntil(world.clock.now + CONTACT_TIME);
       expect(daemonsBehind(world, 2)).toEqual([]);
@@ -136,7 +140,7 @@
     for (let seed = 1; seed <= 2; seed += 1) {
       const world = createSettledWorld(seed, 40);
       simulateOutage(world, storeWatchers(world));
-      world.silenceWatches();
+      world.blockWatches();
       world.clock.runUntil(world.clock.now + CONTACT_TIME);
       changeEverything(world, 2);
       world.clock.runUntil(world.clock.now + CHANGE_BOUND);
@@ -148,7 +152,7 @@
     for (let seed = 1; seed <= 6; seed += 1) {
       const world = createSettledWorld(seed);
       [world.configurations, world.serverEntries, world.evacuations].forEach((feed) =>
-        feed.forgetHistory(1_000),
+        feed.dropHistory(1_000),
       );
       world.clock.runUntil(world.clock.now + 400);
       changeEverything(world, 2);
@@ -176,7 +180,7 @@
     const world = createSettledWorld(1);
     const calls = (): number =>
       [world.configurations, world.serverEntries].reduce(
-        (sum, { lists, watches }) => sum + lists + watches,
+        (sum, { listCalls: lists, watchCalls: watches }) => sum + lists + watches,
         0,
       );
     const before = calls();
--- a/test/router/news/test-store-updates.ts
+++ b/test/router/news/test-store-updates.ts
@@ -6,7 +6,7 @@
 import type { Heartbeat, PeerMessage } from '../../../src/router/peers/messages.js';
 import { reduce } from '../../../src/router/reducer.js';
 import { createRouterState, type RouterState } from '../../../src/router/router-state.js';
-import { CONFIGURATION } from '../support/router-world.js';
+import { CONFIGURATION } from '../support/router-simulation.js';
 import { BOUNDS } from '../support/bounds.js';
 
 const RELAY = '10.0.0.7:70';
--- a/test/router/news/test-zone-evacuations.ts
+++ b/test/router/news/test-zone-evacuations.ts
@@ -1,22 +1,22 @@
 import { expect } from 'earl';
 import { describe, it } from 'node:test';
 import { ZoneEvacuations } from '../../../src/router/news/zone-evacuations.js';
-import { RouterWorld, type Daemon } from '../support/router-world.js';
+import { RouterSimulation, type SimulatedDaemon } from '../support/router-simulation.js';
 
 /** Long enough for a plan, releases and grants. The deployment in the tests allows 5 s. */
 const MAX_MOVE_TIME = 2_500;
 const SETTLING_TIME = 6_000;
 
-function zoneOf(world: RouterWorld, id: string): string | undefined {
+function zoneOf(world: RouterSimulation, id: string): string | undefined {
   return world.daemons[0]?.state.servers.get(id)?.server.zone;
 }
 
-function ownerZones(world: RouterWorld): (string | undefined)[] {
+function ownerZones(world: RouterSimulation): (string | undefined)[] {
   const units = world.leader()?.state.leadership?.table.units ?? [];
   return [...new Set(units.map((unit) => zoneOf(world, unit.owner)))].sort();
 }
 
-function daemonsWithEvacuation(world: RouterWorld, zone: string): Daemon[] {
+function daemonsWithEvacuation(world: RouterSimulation, zone: string): SimulatedDaemon[] {
   return world.daemons.filter(({ state }) => state.evacuations.has(zone));
 }
 
@@ -51,7 +51,7 @@
 
 describe('an evacuated zone', () => {
   it('is known to every daemon at once, including those that the store refuses', () => {
-    const world = new RouterWorld(1, 6, 9);
+    const world = new RouterSimulation(1, 6, 9);
     world.clock.runUntil(SETTLING_TIME);
     const cut = world.daemons.filter((daemon) => !daemon.state.followsStore);
     cut.forEach((daemon) => (daemon.storeReachable = false));
@@ -65,7 +65,7 @@
 
   it('loses its units in time, and no key stays without an owner', () => {
     for (let seed = 1; seed <= 4; seed += 1) {
-      const world = new RouterWorld(seed, 4, 9);
+      const world = new RouterSimulation(seed, 4, 9);
       world.clock.runUntil(SETTLING_TIME);
       world.evacuate(['z1']);
       world.clock.runUntil(SETTLING_TIME + MAX_MOVE_TIME);
@@ -75,11 +75,11 @@
   });
 
   it('stays evacuated when the leader is lost and when all daemons restart', () => {
-    const world = new RouterWorld(3, 4, 9);
+    const world = new RouterSimulation(3, 4, 9);
     world.clock.runUntil(SETTLING_TIME);
     world.evacuate(['z2']);
     world.clock.runUntil(SETTLING_TIME + 100);
-    const leader = world.leader() as Daemon;
+    const leader = world.leader() as SimulatedDaemon;
     leader.alive = false;
     world.clock.runUntil(SETTLING_TIME + 6_000);
     expect(ownerZones(world)).toEqual(['z0', 'z1']);
@@ -90,7 +90,7 @@
   });
 
   it('is evacuated no longer after it is restored, and no key is without an owner', () => {
-    const world = new RouterWorld(2, 3, 6);
+    const world = new RouterSimulation(2, 3, 6);
     world.clock.runUntil(SETTLING_TIME);
     world.evacuate(['z1']);
     world.clock.runUntil(SETTLING_TIME + 1_000);
@@ -101,7 +101,7 @@
   });
 
   it('changes nothing when the zone is unknown', () => {
-    const world = new RouterWorld(4, 3, 6);
+    const world = new RouterSimulation(4, 3, 6);
     world.clock.runUntil(SETTLING_TIME);
     const before = world.leader()?.state.leadership?.table;
     world.evacuate(['nowhere']);
@@ -110,7 +110,7 @@
   });
 
   it('leaves units where they are when no other zone has servers', () => {
-    const world = new RouterWorld(5, 3, 6);
+    const world = new RouterSimulation(5, 3, 6);
     world.clock.runUntil(SETTLING_TIME);
     const before = ownerZones(world);
     world.evacuate(['z0', 'z1', 'z2']);
@@ -119,7 +119,7 @@
   });
 
   it('loses its units while another zone is lost', () => {
-    const world = new RouterWorld(6, 3, 9);
+    const world = new RouterSimulation(6, 3, 9);
     world.clock.runUntil(SETTLING_TIME);
     world.servers
       .filter((server) => zoneOf(world, server.id) === 'z2')
--- a/test/router/notices/test-back-off-reports.ts
+++ b/test/router/notices/test-back-off-reports.ts
@@ -1,18 +1,18 @@
 import { expect } from 'earl';
 import { describe, it } from 'node:test';
 import { BackOffReports } from '../../../src/router/notices/back-off-reports.js';
-import { type Daemon, RouterWorld } from '../support/router-world.js';
+import { type SimulatedDaemon, RouterSimulation } from '../support/router-simulation.js';
 
 const SETTLING_TIME = 6_000;
 const BACK_OFF = 3_000;
 
-function ownsUnits(world: RouterWorld, server: string): boolean {
-  return (world.leader()?.state.view.units ?? []).some(({ owner }) => owner === server);
+function ownsUnits(world: RouterSimulation, server: string): boolean {
+  return (world.leader()?.state.ownershipView.units ?? []).some(({ owner }) => owner === server);
 }
 
 describe('owners of keys that ask for a back-off', () => {
   it('lose their keys when they ask more than one daemon', () => {
-    const world = new RouterWorld(3, 6, 5);
+    const world = new RouterSimulation(3, 6, 5);
     world.clock.runUntil(SETTLING_TIME);
     const askedAt = world.clock.now;
     world.daemons.slice(0, 3).forEach((daemon) => {
@@ -29,10 +29,10 @@
   });
 
   it('keep their keys when they ask only one daemon, or when no other server is left', () => {
-    const world = new RouterWorld(3, 6, 2);
+    const world = new RouterSimulation(3, 6, 2);
     world.clock.runUntil(SETTLING_TIME);
     const notice = { leaving: false, rest: BACK_OFF };
-    world.deliver(world.daemons[0] as Daemon, { kind: 'serverNoticed', server: 's2', notice });
+    world.deliver(world.daemons[0] as SimulatedDaemon, { kind: 'serverNoticed', server: 's2', notice });
     world.clock.runUntil(world.clock.now + 1_000);
     expect(ownsUnits(world, 's2')).toEqual(true);
     for (const daemon of world.daemons) {
--- a/test/router/notices/test-back-off-simulation.ts
+++ b/test/router/notices/test-back-off-simulation.ts
@@ -1,8 +1,8 @@
 import { expect } from 'earl';
 import { describe, it } from 'node:test';
 import { SeededRandom } from '../../../src/core/random.js';
-import { RequestTraffic, type Send } from '../support/request-traffic.js';
-import { type Daemon, RouterWorld, SERVICE } from '../support/router-world.js';
+import { RequestTraffic, type Delivery } from '../support/request-traffic.js';
+import { type SimulatedDaemon, RouterSimulation, SERVICE } from '../support/router-simulation.js';
 
 const DAEMONS = 6;
 const SERVERS = 10;
@@ -27,33 +27,37 @@
 
 /** Simulates owners of keys that reject every request for a time. */
 function simulateBackOff(seed: number): Outcome {
-  const world = new RouterWorld(seed, DAEMONS, SERVERS);
+  const world = new RouterSimulation(seed, DAEMONS, SERVERS);
   const traffic = new RequestTraffic(world, 0);
   const random = new SeededRandom(seed);
-  const ask = (daemon: Daemon): void => {
-    traffic.ask(daemon, { name: 'r', route: SERVICE, key: Math.floor(random.fraction() * 128) * 512 + 7 });
-    world.clock.after(REQUEST_INTERVAL, () => ask(daemon));
+  const ask = (daemon: SimulatedDaemon): void => {
+    traffic.sendRequest(daemon, {
+      name: 'r',
+      route: SERVICE,
+      key: Math.floor(random.fraction() * 128) * 512 + 7,
+    });
+    world.clock.schedule(REQUEST_INTERVAL, () => ask(daemon));
   };
-  world.daemons.forEach((daemon, index) => world.clock.after(2_000 + index * 7, () => ask(daemon)));
+  world.daemons.forEach((daemon, index) => world.clock.schedule(2_000 + index * 7, () => ask(daemon)));
   world.clock.runUntil(SETTLING_TIME);
-  const before = traffic.told.length;
+  const before = traffic.responses.length;
   const faulty = world.servers.slice(0, FAULTY_SERVERS);
-  faulty.forEach((server) => traffic.resting.set(server, BACK_OFF));
+  faulty.forEach((server) => traffic.backOffs.set(server, BACK_OFF));
   world.clock.runUntil(SETTLING_TIME + FAULT_TIME);
-  traffic.resting.clear();
-  const told = traffic.told.slice(before);
+  traffic.backOffs.clear();
+  const told = traffic.responses.slice(before);
   expect(world.checker.violations).toEqual([]);
   const ids = new Set(faulty.map(({ id }) => id));
-  const sends = traffic.sends.filter(({ server, at }) => ids.has(server) && at >= SETTLING_TIME);
+  const sends = traffic.deliveries.filter(({ server, at }) => ids.has(server) && at >= SETTLING_TIME);
   world.clock.runUntil(SETTLING_TIME + FAULT_TIME + 8_000);
-  expect(traffic.told.slice(-100).filter(({ status }) => status === 200).length > 95).toEqual(true);
+  expect(traffic.responses.slice(-100).filter(({ status }) => status === 200).length > 95).toEqual(true);
   return {
     servedShare: told.filter(({ status }) => status === 200).length / told.length,
     excessArrivals: countExcessArrivals(sends),
   };
 }
 
-function countExcessArrivals(sends: readonly Send[]): number {
+function countExcessArrivals(sends: readonly Delivery[]): number {
   let excessArrivals = 0;
   for (const first of sends) {
     const within = sends.filter(
--- a/test/router/notices/test-draining-updates.ts
+++ b/test/router/notices/test-draining-updates.ts
@@ -7,19 +7,23 @@
 import { describe, it } from 'node:test';
 import { DrainingServers } from '../../../src/router/notices/draining-servers.js';
 import { BOUNDS } from '../support/bounds.js';
-import { type Daemon, RouterWorld } from '../support/router-world.js';
+import { type SimulatedDaemon, RouterSimulation } from '../support/router-simulation.js';
 
 const SETTLING_TIME = 6_000;
 /** Updates reach all daemons within this time, in ms, while the leader stays the same. */
 const PROPAGATION_TIME = 100;
 
-function ownsUnits(world: RouterWorld, server: string): boolean {
-  return (world.leader()?.state.view.units ?? []).some(({ owner }) => owner === server);
+function ownsUnits(world: RouterSimulation, server: string): boolean {
+  return (world.leader()?.state.ownershipView.units ?? []).some(({ owner }) => owner === server);
 }
 
 /** Delivers a response whose server says that it is draining to a daemon that doesn't lead. */
-function deliverDrainingNotice(world: RouterWorld): { daemon: Daemon; server: string; noticedAt: number } {
-  const daemon = world.daemons.find(({ state }) => state.leadership === null) as Daemon;
+function deliverDrainingNotice(world: RouterSimulation): {
+  daemon: SimulatedDaemon;
+  server: string;
+  noticedAt: number;
+} {
+  const daemon = world.daemons.find(({ state }) => state.leadership === null) as SimulatedDaemon;
   const server = 's2';
   world.deliver(daemon, { kind: 'serverNoticed', server, notice: { leaving: true, rest: null } });
   return { daemon, server, noticedAt: world.clock.now };
@@ -27,7 +31,7 @@
 
 describe('the notice that a server is draining', () => {
   it('reaches every daemon, and the server loses its keys while it still accepts requests for them', () => {
-    const world = new RouterWorld(3, 6, 5);
+    const world = new RouterSimulation(3, 6, 5);
     world.clock.runUntil(SETTLING_TIME);
     expect(ownsUnits(world, 's2')).toEqual(true);
     const { server, noticedAt } = deliverDrainingNotice(world);
@@ -42,20 +46,22 @@
   });
 
   it('survives an outage of the store, and holds for the next leader', () => {
-    const world = new RouterWorld(4, 6, 5);
+    const world = new RouterSimulation(4, 6, 5);
     world.clock.runUntil(SETTLING_TIME);
     world.daemons.forEach((daemon) => (daemon.storeReachable = false));
     const { server, noticedAt } = deliverDrainingNotice(world);
     world.clock.runUntil(noticedAt + 11_000);
     world.daemons.forEach((daemon) => (daemon.storeReachable = true));
     world.clock.runUntil(noticedAt + 15_000);
-    expect(world.daemons.every(({ state }) => state.leaving.drainingSince(server) !== null)).toEqual(true);
+    expect(world.daemons.every(({ state }) => state.drainingServers.drainingSince(server) !== null)).toEqual(
+      true,
+    );
     expect(ownsUnits(world, server)).toEqual(false);
     expect(world.checker.violations).toEqual([]);
   });
 
   it('is learned by a daemon that restarts', () => {
-    const world = new RouterWorld(5, 6, 5);
+    const world = new RouterSimulation(5, 6, 5);
     world.clock.runUntil(SETTLING_TIME);
     const { daemon, server, noticedAt } = deliverDrainingNotice(world);
     world.clock.runUntil(noticedAt + PROPAGATION_TIME);
@@ -63,7 +69,7 @@
     world.clock.runUntil(noticedAt + 500);
     world.startDaemon(daemon);
     world.clock.runUntil(noticedAt + 4_000);
-    const learnedAt = daemon.state.leaving.drainingSince(server);
+    const learnedAt = daemon.state.drainingServers.drainingSince(server);
     // Each daemon has its own clock, so the age of the notice is compared.
     const age = daemon.clock.now() - (learnedAt ?? Number.NaN);
     expect(Math.abs(age - (world.clock.now - noticedAt)) < PROPAGATION_TIME).toEqual(true);
--- a/test/router/ownership/test-election-reads.ts
+++ b/test/router/ownership/test-election-reads.ts
@@ -1,6 +1,6 @@
 import { expect } from 'earl';
 import { describe, it } from 'node:test';
-import type { StoredName } from '../../../src/router/events.js';
+import type { StoredObjectName } from '../../../src/router/events.js';
 import { reduce } from '../../../src/router/reducer.js';
 import { createRouterState } from '../../../src/router/router-state.js';
 import { BOUNDS } from '../support/bounds.js';
@@ -12,7 +12,7 @@
  * Returns how often a daemon without a leader reads each object while the store refuses every request at
  * once.
  */
-function readsInOutage(): Record<StoredName, number> {
+function readsInOutage(): Record<StoredObjectName, number> {
   const state = createRouterState({ daemon: 'd', zone: 'z', peerAddress: '10.0.0.9:1', life: 1 }, BOUNDS, 1);
   const reads = { leader: 0, ownership: 0, quarantines: 0 };
   for (let now = 0; now < OUTAGE; now += TICK) {
--- a/test/router/ownership/test-first-assignment.ts
+++ b/test/router/ownership/test-first-assignment.ts
@@ -1,18 +1,18 @@
 import { expect } from 'earl';
 import { describe, it } from 'node:test';
-import { RouterWorld } from '../support/router-world.js';
+import { RouterSimulation } from '../support/router-simulation.js';
 
 const APPEARANCE_INTERVAL = 400;
 const LATE_SERVERS = 8;
 
 /** Adds servers that become known one after the other, as when a deployment starts. */
-function addServersOneByOne(world: RouterWorld): void {
+function addServersOneByOne(world: RouterSimulation): void {
   for (let index = 0; index < LATE_SERVERS; index += 1) {
-    world.clock.after((index + 1) * APPEARANCE_INTERVAL, () => world.addServer(`10.0.3.${index}:80`));
+    world.clock.schedule((index + 1) * APPEARANCE_INTERVAL, () => world.addServer(`10.0.3.${index}:80`));
   }
 }
 
-function owners(world: RouterWorld): Set<string> {
+function owners(world: RouterSimulation): Set<string> {
   return new Set(world.leader()?.state.leadership?.table.units.map((unit) => unit.owner));
 }
 
@@ -21,7 +21,7 @@
   // overloaded for 18 s while the others had spare capacity.
   it('waits while servers keep becoming known and no keys are requested', () => {
     for (let seed = 1; seed <= 3; seed += 1) {
-      const world = new RouterWorld(seed, 3, 1);
+      const world = new RouterSimulation(seed, 3, 1);
       addServersOneByOne(world);
       world.clock.runUntil(8_000);
       expect(owners(world).size).toEqual(LATE_SERVERS + 1);
@@ -31,21 +31,21 @@
   });
 
   it('does not wait when callers request keys', () => {
-    const world = new RouterWorld(1, 3, 1);
+    const world = new RouterSimulation(1, 3, 1);
     addServersOneByOne(world);
     const sendRequest = (): void => {
-      world.ask([7]);
-      world.clock.after(100, sendRequest);
+      world.countKeyRequests([7]);
+      world.clock.schedule(100, sendRequest);
     };
-    world.clock.after(500, sendRequest);
+    world.clock.schedule(500, sendRequest);
     world.clock.runUntil(1_900);
     expect(world.unservedKeys()).toEqual([]);
   });
 
   it('waits for a few seconds at most', () => {
-    const world = new RouterWorld(1, 3, 1);
+    const world = new RouterSimulation(1, 3, 1);
     for (let index = 0; index < 40; index += 1) {
-      world.clock.after((index + 1) * APPEARANCE_INTERVAL, () => world.addServer(`10.0.3.${index}:80`));
+      world.clock.schedule((index + 1) * APPEARANCE_INTERVAL, () => world.addServer(`10.0.3.${index}:80`));
     }
     world.clock.runUntil(7_000);
     expect(world.unservedKeys()).toEqual([]);
--- a/test/router/ownership/test-isolation.ts
+++ b/test/router/ownership/test-isolation.ts
@@ -3,8 +3,8 @@
 import type { AttemptResult, RouterEvent } from '../../../src/router/events.js';
 import type { Ownership } from '../../../src/router/peers/messages.js';
 import { reduce } from '../../../src/router/reducer.js';
-import { createRouterState, missingForCallers, type RouterState } from '../../../src/router/router-state.js';
-import { CONFIGURATION, SERVICE } from '../support/router-world.js';
+import { createRouterState, notReadyReason, type RouterState } from '../../../src/router/router-state.js';
+import { CONFIGURATION, SERVICE } from '../support/router-simulation.js';
 import { BOUNDS_WITH_RETRIES } from '../support/bounds.js';
 import { fingerprintOf } from '../support/fingerprints.js';
 
@@ -69,7 +69,7 @@
   }
 
   get isReady(): boolean {
-    return missingForCallers(this.state) === null;
+    return notReadyReason(this.state) === null;
   }
 }
 
--- a/test/router/ownership/test-planned-stop.ts
+++ b/test/router/ownership/test-planned-stop.ts
@@ -1,12 +1,12 @@
 import { expect } from 'earl';
 import { describe, it } from 'node:test';
-import { RouterWorld } from '../support/router-world.js';
+import { RouterSimulation } from '../support/router-simulation.js';
 
 describe('a leader that is stopped as planned', () => {
   // Guards against a leader that resigns, reads its own resigned record, and claims the table again.
   it('does not lead again before its process ends', () => {
     for (let seed = 1; seed <= 10; seed += 1) {
-      const world = new RouterWorld(seed);
+      const world = new RouterSimulation(seed);
       world.clock.runUntil(6_000);
       const leader = world.leader();
       if (leader === undefined) {
@@ -25,7 +25,7 @@
   });
 
   it('drops its candidacy', () => {
-    const world = new RouterWorld(1, 1);
+    const world = new RouterSimulation(1, 1);
     const [daemon] = world.daemons;
     if (daemon === undefined) {
       throw new Error('no daemon');
--- a/test/router/ownership/test-refused-fence.ts
+++ b/test/router/ownership/test-refused-fence.ts
@@ -2,10 +2,10 @@
 import { describe, it } from 'node:test';
 import type { ControlEffect } from '../../../src/router/effects.js';
 import { LAST_KEY } from '../../../src/router/model/identifiers.js';
-import { RouterWorld, SERVICE } from '../support/router-world.js';
+import { RouterSimulation, SERVICE } from '../support/router-simulation.js';
 
 /** Releases every key of a server under a fence, so that the server refuses grants with lower fences. */
-function releaseAllKeys(world: RouterWorld, fence: number): string {
+function releaseAllKeys(world: RouterSimulation, fence: number): string {
   const [server] = world.servers;
   if (server === undefined) {
     throw new Error('no server');
@@ -21,16 +21,16 @@
     fence,
     hold: 0,
     handover: null,
-    patience: 0,
+    timeout: 0,
     healthPath: '',
   };
-  server.take(release);
+  server.handleCall(release);
   return server.id;
 }
 
 describe('a grant that was refused for its fence', () => {
   it('is not retried with that fence while the store accepts no writes', () => {
-    const world = new RouterWorld(1);
+    const world = new RouterSimulation(1);
     world.clock.runUntil(6_000);
     const table = world.leader()?.state.leadership?.table;
     world.store.downUntil = world.clock.now + 4_000;
@@ -42,13 +42,13 @@
   });
 
   it('is retried with a new fence once the store accepts writes', () => {
-    const world = new RouterWorld(1);
+    const world = new RouterSimulation(1);
     world.clock.runUntil(6_000);
     world.store.downUntil = world.clock.now + 2_000;
     releaseAllKeys(world, (world.leader()?.state.leadership?.table.nextFence ?? 0) - 1);
     world.clock.runUntil(world.clock.now + 5_000);
     expect(world.unservedKeys()).toEqual([]);
     expect(world.checker.violations).toEqual([]);
-    expect(world.leader()?.state.view.units.some((unit) => unit.service === SERVICE)).toEqual(true);
+    expect(world.leader()?.state.ownershipView.units.some((unit) => unit.service === SERVICE)).toEqual(true);
   });
 });
--- a/test/router/ownership/test-server-incarnations.ts
+++ b/test/router/ownership/test-server-incarnations.ts
@@ -7,13 +7,13 @@
  */
 import { expect } from 'earl';
 import { describe, it } from 'node:test';
-import { type ModelServer } from '../support/model-server.js';
-import { buildServerId, instanceOf } from '../../../src/router/model/server-life.js';
+import { type SimulatedServer } from '../support/simulated-server.js';
+import { buildServerId, instanceOf } from '../../../src/router/model/server-incarnation.js';
 import type { ServerChange } from '../../../src/router/peers/messages.js';
 import { CrashTable } from '../../../src/router/quarantine/crash-table.js';
 import { fingerprintOf } from '../support/fingerprints.js';
-import { RouterWorld } from '../support/router-world.js';
-import { server, SingleDaemon } from '../support/single-daemon.js';
+import { RouterSimulation } from '../support/router-simulation.js';
+import { describeServer, SingleDaemon } from '../support/single-daemon.js';
 
 const SETTLED = 6_000;
 /** Time until the server list changes. The renewals of the owner continue meanwhile, one every 850 ms. */
@@ -21,28 +21,28 @@
 /** A server that has just started is assigned no keys while other servers can take them. */
 const COLD_AND_UNLISTED = { listedAfter: UNLISTED_TIME, warmupLeft: 8_000 };
 
-function ownerIn(world: RouterWorld): ModelServer {
-  return world.servers.find(({ alive, holdings }) => alive && holdings.size > 0) as ModelServer;
+function ownerIn(world: RouterSimulation): SimulatedServer {
+  return world.servers.find(({ alive, holdings }) => alive && holdings.size > 0) as SimulatedServer;
 }
 
 /**
  * Returns the violations in which two servers hold a key. Others are expected: a grant that reaches the wrong
  * server has the fence that the right one had, which no daemon can prevent.
  */
-function doubleOwnerships(world: RouterWorld): string[] {
+function doubleOwnerships(world: RouterSimulation): string[] {
   return world.checker.violations.filter((violation) => violation.includes(' holds it '));
 }
 
 describe('keys of an owner that has ended', () => {
   it('have one owner when the next server at its address accepts grants that were meant for it', () => {
     for (let seed = 1; seed <= 20; seed += 1) {
-      const world = new RouterWorld(seed, 3, 5);
+      const world = new RouterSimulation(seed, 3, 5);
       world.clock.runUntil(SETTLED + seed * 37);
       const owner = ownerIn(world);
       owner.alive = false;
       const next = world.addServer(owner.address, undefined, COLD_AND_UNLISTED);
-      next.checksName = false;
-      world.clock.after(UNLISTED_TIME, () => world.unlist(owner.id));
+      next.checksInstanceName = false;
+      world.clock.schedule(UNLISTED_TIME, () => world.removeEntry(owner.id));
       world.clock.runUntil(SETTLED + 12_000);
       expect(doubleOwnerships(world)).toEqual([]);
       expect(world.unservedKeys()).toEqual([]);
@@ -51,21 +51,21 @@
 
   it('are granted again under a higher fence when the owner restarts under its name within a heartbeat', () => {
     for (let seed = 1; seed <= 20; seed += 1) {
-      const world = new RouterWorld(seed, 3, 5);
+      const world = new RouterSimulation(seed, 3, 5);
       world.clock.runUntil(SETTLED + seed * 37);
       const former = ownerIn(world);
       const next = world.restartServer(former, 2);
       world.clock.runUntil(SETTLED + 8_000);
       expect(world.checker.violations).toEqual([]);
       expect(world.unservedKeys()).toEqual([]);
-      const owners = new Set(world.leader()?.state.view.units.map(({ owner }) => owner));
+      const owners = new Set(world.leader()?.state.ownershipView.units.map(({ owner }) => owner));
       expect(owners.has(former.id)).toEqual(false);
       expect(next.holdings.size === 0 || owners.has(next.id)).toEqual(true);
     }
   });
 
   it('are granted again although the clock of the owner was set back between its incarnations', () => {
-    const world = new RouterWorld(7, 3, 5);
+    const world = new RouterSimulation(7, 3, 5);
     world.clock.runUntil(SETTLED);
     const former = ownerIn(world);
     const later = world.restartServer(former, 900);
@@ -84,12 +84,14 @@
 describe('what is known of an incarnation', () => {
   it('is not carried over to the next incarnation under its name', () => {
     const daemon = new SingleDaemon();
-    const changes = [{ id: 's1', server: { ...server('s1#1'), address: '10.0.0.1:80', revision: 6 } }];
+    const changes = [
+      { id: 's1', server: { ...describeServer('s1#1'), address: '10.0.0.1:80', revision: 6 } },
+    ];
     daemon.event({ kind: 'serversChanged', changes, revision: 6 });
     daemon.event({ kind: 'serverNoticed', server: 's1#1', notice: { leaving: true, rest: 5_000 } });
-    const next = [{ id: 's1', server: { ...server('s1#2'), address: '10.0.0.1:80', revision: 7 } }];
+    const next = [{ id: 's1', server: { ...describeServer('s1#2'), address: '10.0.0.1:80', revision: 7 } }];
     daemon.event({ kind: 'serversChanged', changes: next, revision: 7 });
-    expect(daemon.only('forgetConnections').map(({ address }) => address)).toInclude('10.0.0.1:80');
+    expect(daemon.effectsOfKind('forgetConnections').map(({ address }) => address)).toInclude('10.0.0.1:80');
     const known = daemon.state.servers.get('s1#2');
     expect([known?.drainingSince, known?.rest.left(daemon.now)]).toEqual([null, 0]);
     daemon.event({ kind: 'serverNoticed', server: 's1#1', notice: { leaving: true, rest: 5_000 } });
@@ -100,7 +102,7 @@
     const daemon = new SingleDaemon();
     const entry = (born: number, revision: number): ServerChange => ({
       id: 's1',
-      server: { ...server(`s1#${born}`), address: '10.0.0.1:80', revision },
+      server: { ...describeServer(`s1#${born}`), address: '10.0.0.1:80', revision },
     });
     daemon.event({ kind: 'serversChanged', changes: [entry(2, 7)], revision: 7 });
     daemon.event({ kind: 'serversChanged', changes: [entry(1, 6)], revision: 8 });
--- a/test/router/ownership/test-suspension.ts
+++ b/test/router/ownership/test-suspension.ts
@@ -13,8 +13,8 @@
  */
 import { expect } from 'earl';
 import { describe, it } from 'node:test';
-import { type Daemon, RouterWorld, SERVICE } from '../support/router-world.js';
-import { WATCHED_KEYS } from '../support/model-server.js';
+import { type SimulatedDaemon, RouterSimulation, SERVICE } from '../support/router-simulation.js';
+import { CHECKED_KEYS } from '../support/simulated-server.js';
 
 const SETTLED = 6_000;
 const SIMULATED_TIME = 40_000;
@@ -25,39 +25,39 @@
 const INDEPENDENT_BOOT_CLOCK = (now: number): number => Math.floor((now * 1.7) / 10) * 10;
 
 /** Requests hot keys that change, so that the plan keeps moving units. */
-function addLoad(world: RouterWorld): void {
+function addLoad(world: RouterSimulation): void {
   const sendRequests = (): void => {
     const hot = 7 + 512 * ((Math.floor(world.clock.now / 2_000) * 31) % 128);
     for (let count = 0; count < 6; count += 1) {
-      const cold = WATCHED_KEYS[world.random.below(WATCHED_KEYS.length)] as number;
-      world.ask([world.random.fraction() < 0.6 ? hot : cold]);
+      const cold = CHECKED_KEYS[world.random.below(CHECKED_KEYS.length)] as number;
+      world.countKeyRequests([world.random.fraction() < 0.6 ? hot : cold]);
     }
-    world.clock.after(50, sendRequests);
+    world.clock.schedule(50, sendRequests);
   };
-  world.clock.after(1_000, sendRequests);
+  world.clock.schedule(1_000, sendRequests);
 }
 
 /**
  * Suspends the leader while some servers are cut off: its successor waits for their leases to expire, and
  * moves their keys.
  */
-function suspendLeader(world: RouterWorld): void {
+function suspendLeader(world: RouterSimulation): void {
   const leader = world.leader();
   if (leader !== undefined) {
     const length = 6_000 + world.random.fraction() * 2_500;
     world.suspend(leader, length);
     const cutOff = world.servers.filter((_, index) => index % 3 === 0);
     cutOff.forEach((server) => (server.reachable = false));
-    world.clock.after(length - 1, () => cutOff.forEach((server) => (server.reachable = true)));
+    world.clock.schedule(length - 1, () => cutOff.forEach((server) => (server.reachable = true)));
   }
 }
 
-function simulate(seed: number, bootClock?: (now: number) => number): RouterWorld {
-  const world = new RouterWorld(seed);
+function simulate(seed: number, bootClock?: (now: number) => number): RouterSimulation {
+  const world = new RouterSimulation(seed);
   world.bootClock = bootClock ?? world.bootClock;
   addLoad(world);
   for (let at = SETTLED; at < SIMULATED_TIME - 9_000; at += 9_000) {
-    world.clock.after(at + world.random.fraction() * 2_000, () => suspendLeader(world));
+    world.clock.schedule(at + world.random.fraction() * 2_000, () => suspendLeader(world));
   }
   world.clock.runUntil(SIMULATED_TIME);
   return world;
@@ -70,10 +70,10 @@
 /**
  * Returns a simulation in which a daemon has a request in progress at a server when its machine is suspended.
  */
-function worldWithRequest(): { world: RouterWorld; daemon: Daemon } {
-  const world = new RouterWorld(1);
+function worldWithRequest(): { world: RouterSimulation; daemon: SimulatedDaemon } {
+  const world = new RouterSimulation(1);
   world.clock.runUntil(SETTLED);
-  const daemon = world.daemons.find(({ state }) => state.leadership === null) as Daemon;
+  const daemon = world.daemons.find(({ state }) => state.leadership === null) as SimulatedDaemon;
   world.deliver(daemon, {
     kind: 'requestArrived',
     requestId: 1,
--- a/test/router/ownership/test-takeover.ts
+++ b/test/router/ownership/test-takeover.ts
@@ -1,18 +1,18 @@
 import { expect } from 'earl';
 import { describe, it } from 'node:test';
-import { WATCHED_KEYS } from '../support/model-server.js';
-import { RouterWorld } from '../support/router-world.js';
+import { CHECKED_KEYS } from '../support/simulated-server.js';
+import { RouterSimulation } from '../support/router-simulation.js';
 
 /** Requests adjacent keys, so that units are split and spread over the servers. */
-function requestAdjacentKeys(world: RouterWorld): void {
+function requestAdjacentKeys(world: RouterSimulation): void {
   const sendRequests = (): void => {
-    world.ask(WATCHED_KEYS.slice(0, 24));
-    world.clock.after(300, sendRequests);
+    world.countKeyRequests(CHECKED_KEYS.slice(0, 24));
+    world.clock.schedule(300, sendRequests);
   };
-  world.clock.after(1_000, sendRequests);
+  world.clock.schedule(1_000, sendRequests);
 }
 
-function hasLeadershipBeenWonAfter(world: RouterWorld, time: number): boolean {
+function hasLeadershipBeenWonAfter(world: RouterSimulation, time: number): boolean {
   return world.events.some((line) => {
     const [at, , event] = line.split(' ');
     return Number(at) > time && event === 'leadership_won';
@@ -24,7 +24,7 @@
   // moved off a dead server waited for the lease of that server again.
   it('does not wait again for the former owner of a unit that was granted long ago', () => {
     for (let seed = 1; seed <= 5; seed += 1) {
-      const world = new RouterWorld(seed);
+      const world = new RouterSimulation(seed);
       requestAdjacentKeys(world);
       world.clock.runUntil(6_000);
       const [victim] = world.servers;
@@ -33,7 +33,7 @@
       }
       victim.alive = false;
       world.clock.runUntil(10_000);
-      world.unlist(victim.id);
+      world.removeEntry(victim.id);
       world.clock.runUntil(18_000);
       expect(world.unservedKeys()).toEqual([]);
       for (const daemon of world.daemons) {
@@ -56,7 +56,7 @@
   // waited 0.4 s for the former leader.
   it('takes over at once when it has just started and the process of the leader has ended', () => {
     for (let seed = 1; seed <= 5; seed += 1) {
-      const world = new RouterWorld(seed);
+      const world = new RouterSimulation(seed);
       world.clock.runUntil(10_000);
       const follower = world.daemons.find((daemon) => daemon !== world.leader());
       for (const daemon of world.daemons) {
@@ -79,14 +79,14 @@
   it('takes over as soon as the store is available again when the leader was lost before the outage', () => {
     const outage = 4_000;
     for (let seed = 1; seed <= 5; seed += 1) {
-      const world = new RouterWorld(seed, 4);
+      const world = new RouterSimulation(seed, 4);
       world.clock.runUntil(10_000);
       const leader = world.leader();
       if (leader === undefined) {
         throw new Error('no leader');
       }
       // The leader is frozen rather than ended, so its address refuses no connections.
-      leader.frozenUntil = Number.POSITIVE_INFINITY;
+      leader.pausedUntil = Number.POSITIVE_INFINITY;
       world.store.downUntil = 10_000 + outage;
       while (!hasLeadershipBeenWonAfter(world, 10_000) && world.clock.now < 20_000) {
         world.clock.runUntil(world.clock.now + 10);
--- a/test/router/quarantine/test-copies-at-one-server.ts
+++ b/test/router/quarantine/test-copies-at-one-server.ts
@@ -7,7 +7,7 @@
 import { expect } from 'earl';
 import { describe, it } from 'node:test';
 import { RequestTraffic } from '../support/request-traffic.js';
-import { type Daemon, RouterWorld, SERVICE } from '../support/router-world.js';
+import { type SimulatedDaemon, RouterSimulation, SERVICE } from '../support/router-simulation.js';
 
 const SETTLING_TIME = 6_000;
 const NAME = 'deadly';
@@ -21,19 +21,19 @@
 
 describe('a request that crashes servers while several copies of it are in flight', () => {
   it('is sent at most three more times once three copies have been lost for the time that daemons need to agree', () => {
-    const world = new RouterWorld(11, 6, 8);
+    const world = new RouterSimulation(11, 6, 8);
     const traffic = new RequestTraffic(world, 0);
-    traffic.deadly.add(NAME);
-    const ask = (daemon: Daemon): void => {
-      traffic.ask(daemon, { name: NAME, route: SERVICE, key: KEY });
-      world.clock.after(REQUEST_INTERVAL, () => ask(daemon));
+    traffic.crashingRequests.add(NAME);
+    const ask = (daemon: SimulatedDaemon): void => {
+      traffic.sendRequest(daemon, { name: NAME, route: SERVICE, key: KEY });
+      world.clock.schedule(REQUEST_INTERVAL, () => ask(daemon));
     };
     world.clock.runUntil(SETTLING_TIME);
-    world.daemons.forEach((daemon, index) => world.clock.after(index, () => ask(daemon)));
+    world.daemons.forEach((daemon, index) => world.clock.schedule(index, () => ask(daemon)));
     world.clock.runUntil(SETTLING_TIME + RUN_TIME);
     const lost = traffic.lostCopies.map(({ at }) => at).sort((left, right) => left - right);
     const third = lost[COPIES - 1] ?? Number.POSITIVE_INFINITY;
-    const later = traffic.sends.filter(({ at }) => at > third + CONTACT_TIME);
+    const later = traffic.deliveries.filter(({ at }) => at > third + CONTACT_TIME);
     expect(later.length <= MAX_LATER_SENDS).toEqual(true);
   });
 });
--- a/test/router/quarantine/test-crash-detection.ts
+++ b/test/router/quarantine/test-crash-detection.ts
@@ -2,13 +2,13 @@
 import { describe, it } from 'node:test';
 import type { AttemptResult, ControlOutcome } from '../../../src/router/events.js';
 import { fingerprintOf } from '../support/fingerprints.js';
-import { server, SingleDaemon } from '../support/single-daemon.js';
+import { describeServer, SingleDaemon } from '../support/single-daemon.js';
 
 const CONNECTION_CLOSED: AttemptResult = {
   kind: 'lost',
   reason: 'other side closed',
-  answerBegun: false,
-  connectionEnded: true,
+  isResponseStarted: false,
+  isClosedByServer: true,
 };
 const ANSWERED: AttemptResult = { kind: 'answered', status: 200, load: null };
 const REQUEST = '/book/1';
@@ -22,9 +22,9 @@
 /** Returns a daemon whose request was at its only server when the server closed the connection. */
 function createDaemonWithClosedConnection(): SingleDaemon {
   const daemon = new SingleDaemon();
-  daemon.event({ kind: 'serversListed', servers: [server(SERVER_ID)], revision: 6 });
-  daemon.arrive(1, REQUEST);
-  daemon.ticksUntil(daemon.now + 100);
+  daemon.event({ kind: 'serversListed', servers: [describeServer(SERVER_ID)], revision: 6 });
+  daemon.receiveRequest(1, REQUEST);
+  daemon.tickUntil(daemon.now + 100);
   daemon.ended(1, 1, CONNECTION_CLOSED);
   return daemon;
 }
@@ -34,15 +34,15 @@
   const end = daemon.now + MAX_DETECTION_TIME;
   while (daemon.now < end) {
     daemon.effects = [];
-    daemon.ticksUntil(daemon.now + 20);
-    for (const { callId } of daemon.only('control')) {
+    daemon.tickUntil(daemon.now + 20);
+    for (const { callId } of daemon.effectsOfKind('control')) {
       daemon.event({ kind: 'controlEnded', callId, outcome });
     }
   }
 }
 
 function countCrashes(daemon: SingleDaemon): number {
-  return daemon.state.crashes.crashCount(fingerprintOf(REQUEST));
+  return daemon.state.crashTable.crashCount(fingerprintOf(REQUEST));
 }
 
 describe('a server that closed the connection of a request', () => {
@@ -69,8 +69,8 @@
 
   it('has not crashed when it answers a request that was sent afterwards', () => {
     const daemon = createDaemonWithClosedConnection();
-    daemon.ticksUntil(daemon.now + 300);
-    daemon.arrive(2, '/read/2');
+    daemon.tickUntil(daemon.now + 300);
+    daemon.receiveRequest(2, '/read/2');
     daemon.ended(2, 1, ANSWERED);
     daemon.event({ kind: 'serversChanged', changes: [{ id: SERVER_ID, server: null }], revision: 9 });
     expect(countCrashes(daemon)).toEqual(0);
@@ -78,11 +78,11 @@
 
   it('has not crashed when it was draining', () => {
     const daemon = new SingleDaemon();
-    daemon.event({ kind: 'serversListed', servers: [server(SERVER_ID)], revision: 6 });
-    daemon.arrive(1, REQUEST);
-    const draining = { ...server(SERVER_ID), draining: true };
+    daemon.event({ kind: 'serversListed', servers: [describeServer(SERVER_ID)], revision: 6 });
+    daemon.receiveRequest(1, REQUEST);
+    const draining = { ...describeServer(SERVER_ID), draining: true };
     daemon.event({ kind: 'serversChanged', changes: [{ id: SERVER_ID, server: draining }], revision: 8 });
-    daemon.ticksUntil(daemon.now + 100);
+    daemon.tickUntil(daemon.now + 100);
     daemon.ended(1, 1, CONNECTION_CLOSED);
     answerProbes(daemon, { kind: 'notSent', reason: 'refused', refused: true });
     expect(countCrashes(daemon)).toEqual(0);
--- a/test/router/quarantine/test-hot-request.ts
+++ b/test/router/quarantine/test-hot-request.ts
@@ -1,7 +1,7 @@
 import { expect } from 'earl';
 import { describe, it } from 'node:test';
 import { RequestTraffic } from '../support/request-traffic.js';
-import { type Daemon, RouterWorld, SERVICE } from '../support/router-world.js';
+import { type SimulatedDaemon, RouterSimulation, SERVICE } from '../support/router-simulation.js';
 
 const SETTLING_TIME = 6_000;
 const HOT = { name: 'hot', route: SERVICE, key: 7 };
@@ -18,17 +18,17 @@
 
 /** Returns the share of a hot request's copies that are answered while its owners crash for unrelated reasons. */
 function simulateCrashes(seed: number, daemons: number): number {
-  const world = new RouterWorld(seed, daemons, 8);
+  const world = new RouterSimulation(seed, daemons, 8);
   const traffic = new RequestTraffic(world, 0);
-  const ask = (daemon: Daemon): void => {
-    traffic.ask(daemon, HOT);
-    traffic.ask(daemon, COLD);
-    world.clock.after(REQUEST_INTERVAL * (daemons / 6), () => ask(daemon));
+  const ask = (daemon: SimulatedDaemon): void => {
+    traffic.sendRequest(daemon, HOT);
+    traffic.sendRequest(daemon, COLD);
+    world.clock.schedule(REQUEST_INTERVAL * (daemons / 6), () => ask(daemon));
   };
   world.clock.runUntil(SETTLING_TIME);
-  world.daemons.forEach((daemon, index) => world.clock.after(index * 11, () => ask(daemon)));
+  world.daemons.forEach((daemon, index) => world.clock.schedule(index * 11, () => ask(daemon)));
   world.clock.runUntil(SETTLING_TIME + 1_000);
-  const before = traffic.told.length;
+  const before = traffic.responses.length;
   for (let crash = 0; crash < CRASHES; crash += 1) {
     const owner = world.servers.find((server) => server.holds(HOT.key));
     if (owner !== undefined) {
@@ -36,7 +36,7 @@
     }
     world.clock.runUntil(world.clock.now + CRASH_INTERVAL);
   }
-  const told = traffic.told.slice(before);
+  const told = traffic.responses.slice(before);
   const ofHot = told.filter(({ name }) => name === HOT.name);
   return ofHot.filter(({ status }) => status === 200).length / ofHot.length;
 }
--- a/test/router/quarantine/test-quarantine-properties.ts
+++ b/test/router/quarantine/test-quarantine-properties.ts
@@ -1,8 +1,8 @@
 import { expect } from 'earl';
 import { describe, it } from 'node:test';
 import { QUARANTINE_REASON } from '../../../src/router/quarantine/quarantine.js';
-import { RequestTraffic, PLAIN, type NamedRequest } from '../support/request-traffic.js';
-import { type Daemon, RouterWorld, SERVICE as KEYED } from '../support/router-world.js';
+import { RequestTraffic, BALANCED_SERVICE, type NamedRequest } from '../support/request-traffic.js';
+import { type SimulatedDaemon, RouterSimulation, SERVICE as KEYED } from '../support/router-simulation.js';
 
 const SETTLING_TIME = 6_000;
 const FAULTS_UNTIL = 24_000;
@@ -17,14 +17,14 @@
 
 /** A running simulation, and when each daemon and the store last had a fault. */
 interface Simulation {
-  readonly world: RouterWorld;
+  readonly world: RouterSimulation;
   readonly traffic: RequestTraffic;
-  readonly lastFaultAt: Map<Daemon, number>;
+  readonly lastFaultAt: Map<SimulatedDaemon, number>;
   lastStoreFaultAt: number;
 }
 
-function randomDaemon({ world }: Simulation): Daemon {
-  return world.daemons[world.random.below(world.daemons.length)] as Daemon;
+function randomDaemon({ world }: Simulation): SimulatedDaemon {
+  return world.daemons[world.random.below(world.daemons.length)] as SimulatedDaemon;
 }
 
 /** Runs an action at random times, with the given mean interval. */
@@ -38,28 +38,28 @@
   const next = (): void => {
     if (world.clock.now < until) {
       action();
-      world.clock.after(world.random.fraction() * 2 * interval, next);
+      world.clock.schedule(world.random.fraction() * 2 * interval, next);
     }
   };
-  world.clock.after(from + world.random.fraction() * interval, next);
+  world.clock.schedule(from + world.random.fraction() * interval, next);
 }
 
 function createSimulation(seed: number): Simulation {
-  const world = new RouterWorld(seed, 6, 8);
+  const world = new RouterSimulation(seed, 6, 8);
   const traffic = new RequestTraffic(world, 8);
-  const simulation = { world, traffic, lastFaultAt: new Map<Daemon, number>(), lastStoreFaultAt: 0 };
+  const simulation = { world, traffic, lastFaultAt: new Map<SimulatedDaemon, number>(), lastStoreFaultAt: 0 };
   repeatAtRandom(simulation, 25, SETTLING_TIME, RUN_TIME, () => {
     const index = world.random.below(10_000);
-    const route = world.random.fraction() < 0.5 ? KEYED : PLAIN;
-    traffic.ask(randomDaemon(simulation), { name: `r${index}`, route, key: 7 + 512 * (index % 128) });
+    const route = world.random.fraction() < 0.5 ? KEYED : BALANCED_SERVICE;
+    traffic.sendRequest(randomDaemon(simulation), { name: `r${index}`, route, key: 7 + 512 * (index % 128) });
   });
   return simulation;
 }
 
-function killAndRestart(simulation: Simulation, daemons: readonly Daemon[]): void {
+function killAndRestart(simulation: Simulation, daemons: readonly SimulatedDaemon[]): void {
   const { world, lastFaultAt } = simulation;
   daemons.forEach((daemon) => (daemon.alive = false));
-  world.clock.after(RESTART_DELAY, () => {
+  world.clock.schedule(RESTART_DELAY, () => {
     daemons.forEach((daemon) => {
       world.startDaemon(daemon);
       lastFaultAt.set(daemon, world.clock.now);
@@ -82,7 +82,7 @@
   cutOff: (simulation) => {
     const daemon = randomDaemon(simulation);
     daemon.peersReachable = false;
-    simulation.world.clock.after(2_500, () => {
+    simulation.world.clock.schedule(2_500, () => {
       daemon.peersReachable = true;
       simulation.lastFaultAt.set(daemon, simulation.world.clock.now);
     });
@@ -102,7 +102,7 @@
   if (last === undefined) {
     return 0;
   }
-  return traffic.sends.filter(({ name: sent, daemon, at }) => {
+  return traffic.deliveries.filter(({ name: sent, daemon, at }) => {
     const undisturbedSince = Math.max(lastFaultAt.get(daemon) ?? 0, lastStoreFaultAt) + CONTACT_TIME;
     return sent === name && at > last.at + CONTACT_TIME && at > undisturbedSince;
   }).length;
@@ -110,8 +110,8 @@
 
 /** Returns the number of requests that were refused because of a quarantine, of deadly or of innocent requests. */
 function countQuarantineRefusals({ traffic }: Simulation, isAtFault: boolean): number {
-  return traffic.told.filter(
-    ({ reason, name }) => reason === QUARANTINE_REASON && traffic.deadly.has(name) === isAtFault,
+  return traffic.responses.filter(
+    ({ reason, name }) => reason === QUARANTINE_REASON && traffic.crashingRequests.has(name) === isAtFault,
   ).length;
 }
 
@@ -120,20 +120,20 @@
   const { traffic } = simulation;
   const callers: readonly [NamedRequest, number][] = [
     [{ name: 'hot-keyed', route: KEYED, key: HOT_KEY }, 15],
-    [{ name: 'hot', route: PLAIN, key: 7 }, 15],
-    [{ name: 'seldom', route: PLAIN, key: 7 }, 800],
+    [{ name: 'hot', route: BALANCED_SERVICE, key: 7 }, 15],
+    [{ name: 'seldom', route: BALANCED_SERVICE, key: 7 }, 800],
   ];
   for (const [request, interval] of callers) {
     repeatAtRandom(simulation, interval, SETTLING_TIME, RUN_TIME, () =>
-      traffic.ask(randomDaemon(simulation), request),
+      traffic.sendRequest(randomDaemon(simulation), request),
     );
   }
 }
 
 function startDeadlyCaller(simulation: Simulation, request: NamedRequest, interval: number): void {
-  simulation.traffic.deadly.add(request.name);
+  simulation.traffic.crashingRequests.add(request.name);
   repeatAtRandom(simulation, interval, SETTLING_TIME + 500, RUN_TIME, () =>
-    simulation.traffic.ask(randomDaemon(simulation), request),
+    simulation.traffic.sendRequest(randomDaemon(simulation), request),
   );
 }
 
@@ -144,11 +144,17 @@
         const simulation = createSimulation(seed);
         startInnocentCallers(simulation);
         startDeadlyCaller(simulation, { name: 'deadly-keyed', route: KEYED, key: HOT_KEY }, 2_500);
-        startDeadlyCaller(simulation, { name: 'deadly', route: PLAIN, key: 7 }, 3_000);
-        startDeadlyCaller(simulation, { name: 'deadly-once', route: `${PLAIN}-once`, key: 7 }, 1_500);
+        startDeadlyCaller(simulation, { name: 'deadly', route: BALANCED_SERVICE, key: 7 }, 3_000);
+        startDeadlyCaller(
+          simulation,
+          { name: 'deadly-once', route: `${BALANCED_SERVICE}-once`, key: 7 },
+          1_500,
+        );
         repeatAtRandom(simulation, 5_000, SETTLING_TIME, FAULTS_UNTIL, () => fault(simulation));
         simulation.world.clock.runUntil(RUN_TIME);
-        const late = [...simulation.traffic.deadly].map((deadly) => countLateSends(simulation, deadly));
+        const late = [...simulation.traffic.crashingRequests].map((deadly) =>
+          countLateSends(simulation, deadly),
+        );
         expect(Math.max(...late) <= MAX_LATER_SENDS).toEqual(true);
         expect(countQuarantineRefusals(simulation, true) > 0).toEqual(true);
         expect(countQuarantineRefusals(simulation, false)).toEqual(0);
@@ -159,7 +165,7 @@
   it('stay quarantined after all daemons have restarted', () => {
     for (const seed of SEEDS) {
       const simulation = createSimulation(seed);
-      startDeadlyCaller(simulation, { name: 'deadly', route: PLAIN, key: 7 }, 3_000);
+      startDeadlyCaller(simulation, { name: 'deadly', route: BALANCED_SERVICE, key: 7 }, 3_000);
       simulation.world.clock.runUntil(FAULTS_UNTIL);
       const before = simulation.traffic.crashes.length;
       killAndRestart(simulation, simulation.world.daemons);
@@ -185,13 +191,13 @@
   },
   'connection resets': ({ world, traffic }) => {
     const alive = world.servers.filter((server) => server.alive);
-    alive.filter(() => world.random.fraction() < 0.5).forEach((server) => traffic.reset(server));
+    alive.filter(() => world.random.fraction() < 0.5).forEach((server) => traffic.resetConnections(server));
   },
   'draining servers': ({ world, traffic }) => {
     const alive = world.servers.filter((server) => server.alive);
     const draining = alive[world.random.below(alive.length)] as (typeof alive)[number];
     world.drain(draining.id);
-    world.clock.after(2_500, () => traffic.crash(draining));
+    world.clock.schedule(2_500, () => traffic.crash(draining));
   },
   'the owner of the hot key, repeatedly': ({ world, traffic }) => {
     const owner = world.servers.find((server) => server.holds(HOT_KEY));
--- a/test/router/quarantine/test-query-of-death.ts
+++ b/test/router/quarantine/test-query-of-death.ts
@@ -12,8 +12,8 @@
  */
 import { expect } from 'earl';
 import { describe, it } from 'node:test';
-import { RequestTraffic, PLAIN, type NamedRequest } from '../support/request-traffic.js';
-import { RouterWorld, SERVICE as KEYED } from '../support/router-world.js';
+import { RequestTraffic, BALANCED_SERVICE, type NamedRequest } from '../support/request-traffic.js';
+import { RouterSimulation, SERVICE as KEYED } from '../support/router-simulation.js';
 
 /** By then daemons have joined the propagation tree, and servers hold their keys. */
 const SETTLING_TIME = 6_000;
@@ -30,30 +30,30 @@
 
 const SEEDS = [1, 2, 3, 4];
 
-function startOrdinaryTraffic(world: RouterWorld, traffic: RequestTraffic): void {
+function startOrdinaryTraffic(world: RouterSimulation, traffic: RequestTraffic): void {
   const next = (): void => {
     const index = world.random.below(10_000);
-    const route = world.random.fraction() < 0.5 ? KEYED : PLAIN;
+    const route = world.random.fraction() < 0.5 ? KEYED : BALANCED_SERVICE;
     const daemon = world.daemons[world.random.below(world.daemons.length)];
     if (daemon !== undefined) {
-      traffic.ask(daemon, { name: `r${index}`, route, key: 7 + 512 * (index % 128) });
+      traffic.sendRequest(daemon, { name: `r${index}`, route, key: 7 + 512 * (index % 128) });
     }
-    world.clock.after(20, next);
+    world.clock.schedule(20, next);
   };
-  world.clock.after(SETTLING_TIME, next);
+  world.clock.schedule(SETTLING_TIME, next);
 }
 
 /** Starts a caller that repeats the same request, each time at a random daemon. */
-function startDeadlyCaller(world: RouterWorld, traffic: RequestTraffic, request: NamedRequest): void {
-  traffic.deadly.add(request.name);
+function startDeadlyCaller(world: RouterSimulation, traffic: RequestTraffic, request: NamedRequest): void {
+  traffic.crashingRequests.add(request.name);
   const next = (): void => {
     const daemon = world.daemons[world.random.below(world.daemons.length)];
     if (daemon !== undefined) {
-      traffic.ask(daemon, request);
+      traffic.sendRequest(daemon, request);
     }
-    world.clock.after(MIN_REPEAT_INTERVAL + world.random.fraction() * REPEAT_INTERVAL_SPREAD, next);
+    world.clock.schedule(MIN_REPEAT_INTERVAL + world.random.fraction() * REPEAT_INTERVAL_SPREAD, next);
   };
-  world.clock.after(SETTLING_TIME + 1_000, next);
+  world.clock.schedule(SETTLING_TIME + 1_000, next);
 }
 
 /** Returns how often a request was sent later than the contact time after enough servers had crashed under it. */
@@ -63,11 +63,11 @@
   if (last === undefined) {
     return 0;
   }
-  return traffic.sends.filter((send) => send.name === name && send.at > last.at + CONTACT_TIME).length;
+  return traffic.deliveries.filter((send) => send.name === name && send.at > last.at + CONTACT_TIME).length;
 }
 
 function simulate(seed: number, request: NamedRequest): RequestTraffic {
-  const world = new RouterWorld(seed, 5, 8);
+  const world = new RouterSimulation(seed, 5, 8);
   const traffic = new RequestTraffic(world, 8);
   startOrdinaryTraffic(world, traffic);
   startDeadlyCaller(world, traffic, request);
@@ -86,7 +86,7 @@
 
   it('stops being sent to servers when any server can run it', () => {
     for (const seed of SEEDS) {
-      const traffic = simulate(seed, { name: 'deadly', route: PLAIN, key: 7 });
+      const traffic = simulate(seed, { name: 'deadly', route: BALANCED_SERVICE, key: 7 });
       expect(traffic.crashes.length >= CRASHES).toEqual(true);
       expect(countLateSends(traffic, 'deadly') <= MAX_LATER_SENDS).toEqual(true);
     }
--- a/test/router/request/test-caller-disconnects.ts
+++ b/test/router/request/test-caller-disconnects.ts
@@ -1,6 +1,6 @@
 import { expect } from 'earl';
 import { describe, it } from 'node:test';
-import { SingleDaemon, server } from '../support/single-daemon.js';
+import { SingleDaemon, describeServer } from '../support/single-daemon.js';
 
 /** Longer than every hold, avoidance time and retry delay. */
 const LONGEST_WAIT = 3_000;
@@ -19,35 +19,35 @@
   'for the first configuration': (daemon) => {
     const { configuration } = daemon.state;
     daemon.state.configuration = null;
-    daemon.arrive(1, '/read/1');
+    daemon.receiveRequest(1, '/read/1');
     daemon.state.configuration = configuration;
   },
   'for a server with free capacity': (daemon) => {
     fillServers(daemon);
-    daemon.arrive(1, '/read/1');
+    daemon.receiveRequest(1, '/read/1');
   },
   'for the owner of its key': (daemon) => {
-    daemon.arrive(1, '/rack/1', 900, KEY);
+    daemon.receiveRequest(1, '/rack/1', 900, KEY);
   },
   'for its owner after a lost attempt': (daemon) => {
     daemon.own('s9');
-    daemon.arrive(1, '/rack/1', 900, KEY);
-    daemon.ended(1, 1, { kind: 'lost', reason: 'reset', answerBegun: false, connectionEnded: false });
+    daemon.receiveRequest(1, '/rack/1', 900, KEY);
+    daemon.ended(1, 1, { kind: 'lost', reason: 'reset', isResponseStarted: false, isClosedByServer: false });
   },
   'for a newer view of ownership after an owner rejected it': (daemon) => {
     daemon.own('s9');
-    daemon.arrive(1, '/rack/1', 900, KEY);
+    daemon.receiveRequest(1, '/rack/1', 900, KEY);
     daemon.ended(1, 1, { kind: 'rejected', status: 421, misdirected: true, load: null });
   },
   'for a permit for a server with a rate limit': (daemon) => {
     const changes = ['s2', 's3'].map((id) => ({ id, server: null }));
     daemon.event({ kind: 'serversChanged', changes, revision: 6 });
     daemon.event({ kind: 'serverLimitRead', server: 's1', reading: 1, sentAt: daemon.now });
-    daemon.arrive(2, '/read/2');
-    daemon.arrive(1, '/read/1');
+    daemon.receiveRequest(2, '/read/2');
+    daemon.receiveRequest(1, '/read/1');
   },
   'for an answer': (daemon) => {
-    daemon.arrive(1, '/read/1');
+    daemon.receiveRequest(1, '/read/1');
   },
 };
 
@@ -58,14 +58,18 @@
       startWaiting(daemon);
       const isInFlight = (daemon.state.requests.get(1)?.server ?? null) !== null;
       daemon.effects = [];
-      daemon.event({ kind: 'callerLeft', requestId: 1, attemptId: 'a-1', isTakenIn: true });
-      expect(daemon.only('cancel').length).toEqual(isInFlight ? 1 : 0);
-      daemon.event({ kind: 'serversChanged', changes: [{ id: 's7', server: server('s7') }], revision: 7 });
+      daemon.event({ kind: 'callerLeft', requestId: 1, attemptId: 'a-1', isArrivalReported: true });
+      expect(daemon.effectsOfKind('cancel').length).toEqual(isInFlight ? 1 : 0);
+      daemon.event({
+        kind: 'serversChanged',
+        changes: [{ id: 's7', server: describeServer('s7') }],
+        revision: 7,
+      });
       daemon.own('s8');
-      daemon.ticksUntil(daemon.now + LONGEST_WAIT);
-      const sent = daemon.only('forward').filter(({ requestId }) => requestId === 1);
+      daemon.tickUntil(daemon.now + LONGEST_WAIT);
+      const sent = daemon.effectsOfKind('forward').filter(({ requestId }) => requestId === 1);
       expect(sent).toEqual([]);
-      expect(daemon.state.requests.has(1) || daemon.state.early.has(1)).toEqual(false);
+      expect(daemon.state.requests.has(1) || daemon.state.earlyRequests.has(1)).toEqual(false);
       const inFlight = [...daemon.state.servers.values()].filter(({ load }) => load.inFlight.has(1));
       expect(inFlight).toEqual([]);
     });
--- a/test/router/request/test-draining-answers.ts
+++ b/test/router/request/test-draining-answers.ts
@@ -5,14 +5,14 @@
  */
 import { expect } from 'earl';
 import { describe, it } from 'node:test';
-import { server, SingleDaemon } from '../support/single-daemon.js';
+import { describeServer, SingleDaemon } from '../support/single-daemon.js';
 
 const KEY = 7;
 const DRAINING_NOTICE = { leaving: true, rest: null };
 
 /** Returns the servers that requests were sent to. */
 function sentTo(daemon: SingleDaemon): string[] {
-  return daemon.only('forward').map(({ server }) => server);
+  return daemon.effectsOfKind('forward').map(({ server }) => server);
 }
 
 describe('a server that announces in an answer that it is draining', () => {
@@ -20,8 +20,8 @@
     const daemon = new SingleDaemon();
     daemon.own('s4');
     daemon.event({ kind: 'serverNoticed', server: 's4', notice: DRAINING_NOTICE });
-    daemon.ticksUntil(daemon.now + daemon.state.bounds.drain);
-    daemon.arrive(1, '/rack/1', 900, KEY);
+    daemon.tickUntil(daemon.now + daemon.state.bounds.drain);
+    daemon.receiveRequest(1, '/rack/1', 900, KEY);
     expect(sentTo(daemon)).toEqual([]);
   });
 
@@ -30,7 +30,7 @@
     daemon.event({ kind: 'serverNoticed', server: 's1', notice: DRAINING_NOTICE });
     daemon.event({ kind: 'serverNoticed', server: 's2', notice: DRAINING_NOTICE });
     for (let request = 1; request <= 4; request += 1) {
-      daemon.arrive(request, '/read/1');
+      daemon.receiveRequest(request, '/read/1');
     }
     expect([...new Set(sentTo(daemon))]).toEqual(['s3']);
   });
@@ -40,30 +40,36 @@
     for (const server of ['s1', 's2', 's3']) {
       daemon.event({ kind: 'serverNoticed', server, notice: DRAINING_NOTICE });
     }
-    daemon.arrive(1, '/read/1');
+    daemon.receiveRequest(1, '/read/1');
     expect(sentTo(daemon).length).toEqual(1);
-    daemon.ticksUntil(daemon.now + daemon.state.bounds.drain);
-    daemon.arrive(2, '/read/1');
-    daemon.ticksUntil(daemon.now + 1_000);
+    daemon.tickUntil(daemon.now + daemon.state.bounds.drain);
+    daemon.receiveRequest(2, '/read/1');
+    daemon.tickUntil(daemon.now + 1_000);
     expect(sentTo(daemon).length).toEqual(1);
-    expect(daemon.only('answer').at(-1)?.status).toEqual(503);
+    expect(daemon.effectsOfKind('answer').at(-1)?.status).toEqual(503);
   });
 
   it('stays draining since the first answer after later entries, answers and updates of other daemons, and is logged once', () => {
     const daemon = new SingleDaemon();
     daemon.event({ kind: 'serverNoticed', server: 's1', notice: DRAINING_NOTICE });
     const noticedAt = daemon.now;
-    daemon.ticksUntil(noticedAt + 500);
+    daemon.tickUntil(noticedAt + 500);
     daemon.event({ kind: 'serverNoticed', server: 's1', notice: DRAINING_NOTICE });
-    const entry = { ...server('s1'), revision: 7 };
+    const entry = { ...describeServer('s1'), revision: 7 };
     daemon.event({ kind: 'serversChanged', changes: [{ id: 's1', server: entry }], revision: 7 });
-    daemon.event({ kind: 'serversListed', servers: [entry, server('s2'), server('s3')], revision: 8 });
+    daemon.event({
+      kind: 'serversListed',
+      servers: [entry, describeServer('s2'), describeServer('s3')],
+      revision: 8,
+    });
     const news = { kind: 'leavingNews', servers: [{ server: 's1', age: 100 }] } as const;
     daemon.event({ kind: 'peerMessage', link: -1, message: { ...news, servers: [...news.servers] } });
     const draining = { ...entry, draining: true, revision: 9 };
     daemon.event({ kind: 'serversChanged', changes: [{ id: 's1', server: draining }], revision: 9 });
     expect(daemon.state.servers.get('s1')?.drainingSince).toEqual(noticedAt);
-    expect(daemon.only('log').filter(({ event }) => event === 'server_says_leaving').length).toEqual(1);
+    expect(daemon.effectsOfKind('log').filter(({ event }) => event === 'server_says_leaving').length).toEqual(
+      1,
+    );
   });
 
   it('is draining since an earlier time that another daemon reports', () => {
@@ -79,8 +85,8 @@
     daemon.event({ kind: 'serverNoticed', server: 's1', notice: DRAINING_NOTICE });
     const noticedAt = daemon.now;
     daemon.event({ kind: 'serversChanged', changes: [{ id: 's1', server: null }], revision: 7 });
-    daemon.ticksUntil(noticedAt + 500);
-    const entry = { ...server('s1'), revision: 8 };
+    daemon.tickUntil(noticedAt + 500);
+    const entry = { ...describeServer('s1'), revision: 8 };
     daemon.event({ kind: 'serversChanged', changes: [{ id: 's1', server: entry }], revision: 8 });
     expect(daemon.state.servers.get('s1')?.drainingSince).toEqual(noticedAt);
   });
@@ -89,8 +95,8 @@
     const daemon = new SingleDaemon();
     daemon.own('s4');
     daemon.event({ kind: 'serverNoticed', server: 's4', notice: DRAINING_NOTICE });
-    daemon.ticksUntil(daemon.now + daemon.state.bounds.drain + 40);
-    daemon.arrive(1, '/rack/1', 900, KEY);
-    expect(daemon.only('answer').map(({ status }) => status)).toEqual([503]);
+    daemon.tickUntil(daemon.now + daemon.state.bounds.drain + 40);
+    daemon.receiveRequest(1, '/rack/1', 900, KEY);
+    expect(daemon.effectsOfKind('answer').map(({ status }) => status)).toEqual([503]);
   });
 });
--- a/test/router/request/test-evacuated-zones.ts
+++ b/test/router/request/test-evacuated-zones.ts
@@ -1,6 +1,6 @@
 import { expect } from 'earl';
 import { beforeEach, describe, it } from 'node:test';
-import { server, SingleDaemon } from '../support/single-daemon.js';
+import { describeServer, SingleDaemon } from '../support/single-daemon.js';
 
 let daemon: SingleDaemon;
 
@@ -11,27 +11,29 @@
 
   it('sends nothing to servers of an evacuated zone, and refuses requests with that reason when there is no other server', () => {
     daemon.event({ kind: 'evacuationsListed', zones: ['z'], revision: 6 });
-    daemon.arrive(1, '/read/1');
-    daemon.ticksUntil(1_300);
-    expect(daemon.only('forward')).toEqual([]);
-    expect(daemon.only('answer')[0]?.status).toEqual(503);
-    expect(daemon.only('answer')[0]?.reason).toEqual('no server outside of evacuated zones takes requests');
+    daemon.receiveRequest(1, '/read/1');
+    daemon.tickUntil(1_300);
+    expect(daemon.effectsOfKind('forward')).toEqual([]);
+    expect(daemon.effectsOfKind('answer')[0]?.status).toEqual(503);
+    expect(daemon.effectsOfKind('answer')[0]?.reason).toEqual(
+      'no server outside of evacuated zones takes requests',
+    );
     daemon.event({ kind: 'evacuationsChanged', changes: [{ zone: 'z', evacuated: false }], revision: 7 });
-    daemon.ticksUntil(daemon.now + 3_100);
-    daemon.arrive(2, '/read/2');
-    expect(daemon.only('forward').length).toEqual(1);
+    daemon.tickUntil(daemon.now + 3_100);
+    daemon.receiveRequest(2, '/read/2');
+    expect(daemon.effectsOfKind('forward').length).toEqual(1);
   });
 
   it('sends to an owner of keys in an evacuated zone for a part of the allowed time only', () => {
     daemon.own('s9');
     daemon.event({ kind: 'evacuationsListed', zones: ['z'], revision: 7 });
-    daemon.arrive(1, '/rack/1', 900, 5);
-    expect(daemon.only('forward').length).toEqual(1);
-    daemon.ticksUntil(daemon.now + 2_600);
-    daemon.arrive(2, '/rack/1', 900, 5);
-    daemon.ticksUntil(daemon.now + 300);
-    expect(daemon.only('forward').length).toEqual(1);
-    expect(daemon.only('answer').at(-1)?.reason).toEqual('the zone of the owner s9 is evacuated');
+    daemon.receiveRequest(1, '/rack/1', 900, 5);
+    expect(daemon.effectsOfKind('forward').length).toEqual(1);
+    daemon.tickUntil(daemon.now + 2_600);
+    daemon.receiveRequest(2, '/rack/1', 900, 5);
+    daemon.tickUntil(daemon.now + 300);
+    expect(daemon.effectsOfKind('forward').length).toEqual(1);
+    expect(daemon.effectsOfKind('answer').at(-1)?.reason).toEqual('the zone of the owner s9 is evacuated');
   });
 
   it('treats the servers of a restored zone as cold', () => {
@@ -43,10 +45,10 @@
   });
 
   it('treats a server as cold when its entry says so again', () => {
-    const changes = [{ id: 's1', server: { ...server('s1'), warmupLeft: 2_000, revision: 9 } }];
+    const changes = [{ id: 's1', server: { ...describeServer('s1'), warmupLeft: 2_000, revision: 9 } }];
     daemon.event({ kind: 'serversChanged', changes, revision: 9 });
     expect(daemon.state.servers.get('s1')?.coldUntil).toEqual(daemon.now + 2_000);
-    const later = [{ id: 's1', server: { ...server('s1'), warmupLeft: 0, revision: 10 } }];
+    const later = [{ id: 's1', server: { ...describeServer('s1'), warmupLeft: 0, revision: 10 } }];
     daemon.event({ kind: 'serversChanged', changes: later, revision: 10 });
     expect(daemon.state.servers.get('s1')?.coldUntil).toEqual(daemon.now);
   });
--- a/test/router/request/test-server-backoff.ts
+++ b/test/router/request/test-server-backoff.ts
@@ -18,12 +18,12 @@
     const daemon = new SingleDaemon();
     daemon.own('s4');
     daemon.event({ kind: 'serverNoticed', server: 's4', notice: BACKOFF_NOTICE });
-    daemon.ticksUntil(daemon.now + IN_TRANSIT);
-    daemon.arrive(1, '/rack/1', 900, KEY);
-    daemon.ticksUntil(daemon.now + BACKOFF - IN_TRANSIT - 40);
-    daemon.arrive(2, '/rack/1', 900, KEY);
-    expect(daemon.only('forward')).toEqual([]);
-    const [first] = daemon.only('answer');
+    daemon.tickUntil(daemon.now + IN_TRANSIT);
+    daemon.receiveRequest(1, '/rack/1', 900, KEY);
+    daemon.tickUntil(daemon.now + BACKOFF - IN_TRANSIT - 40);
+    daemon.receiveRequest(2, '/rack/1', 900, KEY);
+    expect(daemon.effectsOfKind('forward')).toEqual([]);
+    const [first] = daemon.effectsOfKind('answer');
     expect(first?.status).toEqual(503);
     expect((first?.retryAfter ?? 0) >= BACKOFF - IN_TRANSIT).toEqual(true);
   });
@@ -33,9 +33,9 @@
     for (const server of ['s1', 's2', 's3']) {
       daemon.event({ kind: 'serverNoticed', server, notice: BACKOFF_NOTICE });
     }
-    daemon.ticksUntil(daemon.now + BACKOFF - 40);
-    daemon.arrive(1, '/read/1');
-    expect(daemon.only('forward')).toEqual([]);
+    daemon.tickUntil(daemon.now + BACKOFF - 40);
+    daemon.receiveRequest(1, '/read/1');
+    expect(daemon.effectsOfKind('forward')).toEqual([]);
   });
 
   it('keeps the longest back-off that it has asked for', () => {
@@ -43,45 +43,45 @@
     daemon.own('s4');
     daemon.event({ kind: 'serverNoticed', server: 's4', notice: BACKOFF_NOTICE });
     daemon.event({ kind: 'serverNoticed', server: 's4', notice: { leaving: false, rest: 200 } });
-    daemon.ticksUntil(daemon.now + BACKOFF - 40);
-    daemon.arrive(1, '/rack/1', 900, KEY);
-    expect(daemon.only('forward')).toEqual([]);
+    daemon.tickUntil(daemon.now + BACKOFF - 40);
+    daemon.receiveRequest(1, '/rack/1', 900, KEY);
+    expect(daemon.effectsOfKind('forward')).toEqual([]);
   });
 
   it('has its requests sent to the other servers', () => {
     const daemon = new SingleDaemon();
     daemon.event({ kind: 'serverNoticed', server: 's1', notice: BACKOFF_NOTICE });
-    daemon.arrive(1, '/read/1');
-    daemon.arrive(2, '/read/1');
-    expect(daemon.only('forward').map(({ server }) => server)).not.toInclude('s1');
-    expect(daemon.only('forward').length).toEqual(2);
+    daemon.receiveRequest(1, '/read/1');
+    daemon.receiveRequest(2, '/read/1');
+    expect(daemon.effectsOfKind('forward').map(({ server }) => server)).not.toInclude('s1');
+    expect(daemon.effectsOfKind('forward').length).toEqual(2);
   });
 
   it('gets one request at a time after its back-off, until it has answered one', () => {
     const daemon = new SingleDaemon();
     daemon.own('s4');
     daemon.event({ kind: 'serverNoticed', server: 's4', notice: BACKOFF_NOTICE });
-    daemon.ticksUntil(daemon.now + BACKOFF + 20);
-    daemon.arrive(1, '/rack/1', 900, KEY);
-    daemon.arrive(2, '/rack/1', 900, KEY);
-    expect(daemon.only('forward').length).toEqual(1);
+    daemon.tickUntil(daemon.now + BACKOFF + 20);
+    daemon.receiveRequest(1, '/rack/1', 900, KEY);
+    daemon.receiveRequest(2, '/rack/1', 900, KEY);
+    expect(daemon.effectsOfKind('forward').length).toEqual(1);
     daemon.now += 20;
     daemon.ended(1, 1, { kind: 'answered', status: 200, load: null });
-    daemon.ticksUntil(daemon.now + 40);
-    expect(daemon.only('forward').length).toEqual(2);
+    daemon.tickUntil(daemon.now + 40);
+    expect(daemon.effectsOfKind('forward').length).toEqual(2);
     expect(daemon.state.servers.get('s4')?.rest.allowsRequest(2, daemon.now)).toEqual(true);
   });
 
   it('has unsent attempts withdrawn and not sent again', () => {
     const daemon = new SingleDaemon();
     daemon.own('s4');
-    daemon.arrive(1, '/rack/1', 900, KEY);
+    daemon.receiveRequest(1, '/rack/1', 900, KEY);
     daemon.event({ kind: 'serverNoticed', server: 's4', notice: BACKOFF_NOTICE });
-    expect(daemon.only('withdraw')).toEqual([{ kind: 'withdraw', requestId: 1, attempt: 1 }]);
+    expect(daemon.effectsOfKind('withdraw')).toEqual([{ kind: 'withdraw', requestId: 1, attempt: 1 }]);
     daemon.ended(1, 1, { kind: 'notSent', reason: 'withdrawn', refused: false });
-    daemon.ticksUntil(daemon.now + 100);
-    expect(daemon.only('forward').length).toEqual(1);
-    expect(daemon.only('answer').map(({ status }) => status)).toEqual([503]);
+    daemon.tickUntil(daemon.now + 100);
+    expect(daemon.effectsOfKind('forward').length).toEqual(1);
+    expect(daemon.effectsOfKind('answer').map(({ status }) => status)).toEqual([503]);
   });
 
   it('has callers retry at different times, none before the end of the back-off', () => {
@@ -89,9 +89,9 @@
     daemon.own('s4');
     daemon.event({ kind: 'serverNoticed', server: 's4', notice: BACKOFF_NOTICE });
     for (let request = 1; request <= 20; request += 1) {
-      daemon.arrive(request, '/rack/1', 900, KEY);
+      daemon.receiveRequest(request, '/rack/1', 900, KEY);
     }
-    const times = daemon.only('answer').map(({ retryAfter }) => retryAfter ?? 0);
+    const times = daemon.effectsOfKind('answer').map(({ retryAfter }) => retryAfter ?? 0);
     expect(new Set(times).size).toEqual(20);
     expect(times.every((time) => time >= BACKOFF)).toEqual(true);
   });
@@ -99,13 +99,13 @@
   it('may ask for a very long back-off', () => {
     const daemon = new SingleDaemon();
     daemon.event({ kind: 'serverNoticed', server: 's1', notice: { leaving: false, rest: 1e12 } });
-    daemon.ticksUntil(daemon.now + 60_000);
+    daemon.tickUntil(daemon.now + 60_000);
     for (let request = 1; request <= 6; request += 1) {
-      daemon.arrive(request, '/read/1');
+      daemon.receiveRequest(request, '/read/1');
       daemon.ended(request, 1, { kind: 'answered', status: 200, load: null });
     }
-    expect(daemon.only('forward').length).toEqual(6);
-    expect(daemon.only('forward').map(({ server }) => server)).not.toInclude('s1');
+    expect(daemon.effectsOfKind('forward').length).toEqual(6);
+    expect(daemon.effectsOfKind('forward').map(({ server }) => server)).not.toInclude('s1');
   });
 
   it('has callers retry after an hour and its spread at most', () => {
@@ -113,8 +113,8 @@
     daemon.own('s4');
     const endless = { leaving: false, rest: Number.POSITIVE_INFINITY };
     daemon.event({ kind: 'serverNoticed', server: 's4', notice: endless });
-    daemon.arrive(1, '/rack/1', 900, KEY);
-    const hours = (daemon.only('answer')[0]?.retryAfter ?? 0) / 3_600_000;
+    daemon.receiveRequest(1, '/rack/1', 900, KEY);
+    const hours = (daemon.effectsOfKind('answer')[0]?.retryAfter ?? 0) / 3_600_000;
     expect(hours >= 1 && hours <= 1.25).toEqual(true);
   });
 
@@ -125,7 +125,7 @@
       daemon.event({ kind: 'serverNoticed', server, notice: BACKOFF_NOTICE });
       daemon.event({ kind: 'serverNoticed', server, notice: unreadable });
     }
-    const events = daemon.only('log').map(({ event }) => event);
+    const events = daemon.effectsOfKind('log').map(({ event }) => event);
     expect(events.filter((event) => event === 'server_asks_rest').length).toEqual(2);
     expect(events.filter((event) => event === 'malformed_rest_request').length).toEqual(1);
     expect(daemon.state.counters.rest_requests).toEqual(3);
--- a/test/router/request/test-server-eligibility.ts
+++ b/test/router/request/test-server-eligibility.ts
@@ -12,7 +12,7 @@
 import { ServerLoad } from '../../../src/router/request/server-load.js';
 import { ServiceProfile } from '../../../src/router/request/service-profile.js';
 import { SendWindows } from '../../../src/router/sharing/send-windows.js';
-import { server } from '../support/single-daemon.js';
+import { describeServer } from '../support/single-daemon.js';
 
 const NOW = 10_000;
 const DRAINING_GRACE = 1_000;
@@ -21,7 +21,7 @@
   const rest = new ServerBackOff();
   rest.extend(2_000, NOW);
   return {
-    server: server('s1'),
+    server: describeServer('s1'),
     load: new ServerLoad(new ServiceProfile(), 2, 11),
     coldUntil: NOW + 4_000,
     coldTurns: new SendWindows(0.5),
--- a/test/router/request/test-server-load.ts
+++ b/test/router/request/test-server-load.ts
@@ -9,14 +9,14 @@
 import type { CandidateServer } from '../../../src/router/request/server-eligibility.js';
 import { selectServer } from '../../../src/router/request/server-selection.js';
 import { ServiceProfile } from '../../../src/router/request/service-profile.js';
-import { server } from '../support/single-daemon.js';
+import { describeServer } from '../support/single-daemon.js';
 
 const IDLE = { running: 0, waiting: 0, slots: 2, slowdown: 1 };
 
 function createCandidate(id: string): CandidateServer {
   const load = new ServerLoad(new ServiceProfile(), 2, 1);
   return {
-    server: server(id),
+    server: describeServer(id),
     load,
     coldUntil: 0,
     drainingSince: null,
--- a/test/router/support/request-traffic.ts
+++ b/test/router/support/request-traffic.ts
@@ -1,35 +1,35 @@
 /**
- * Callers' requests in the virtual world: servers run them slot by slot, and end under those that are marked as deadly.
- * What reaches servers and what callers are told is kept for the checks.
+ * Simulates callers' requests: servers process them in slots and crash during those that are marked as crashing. Records the
+ * requests that reach servers and the responses to callers for the tests' checks.
  */
 import type { Effect, ForwardEffect } from '../../../src/router/effects.js';
 import type { AttemptResult } from '../../../src/router/events.js';
 import type { Configuration, Route, Service } from '../../../src/router/model/configuration.js';
 import { fingerprintOf } from './fingerprints.js';
-import type { ModelServer } from './model-server.js';
+import type { SimulatedServer } from './simulated-server.js';
 import {
   CONFIGURATION as KEYED_CONFIGURATION,
-  type Daemon,
-  type RequestCarrier,
-  type RouterWorld,
+  type SimulatedDaemon,
+  type RequestEffectHandler,
+  type RouterSimulation,
   SERVICE as KEYED,
-} from './router-world.js';
+} from './router-simulation.js';
 
-/** A service whose requests any server can run. */
-export const PLAIN = 'logs';
+/** A service whose requests any of its servers can execute. */
+export const BALANCED_SERVICE = 'logs';
 const NETWORK_DELAY = 1;
 const CONNECT_TIMEOUT = 700;
 const SLOTS = 2;
-/** A server that has more waiting sheds requests. */
-const LONGEST_WAIT = 300;
+/** A server sheds a request that would wait longer than this many milliseconds for a slot. */
+const MAX_QUEUE_TIME = 300;
 const SHORTEST_WORK = 30;
 const LONGEST_WORK = 120;
-/** A crashed server is back, as a new life at the same address, after this long and up to half a second more. */
-const RESTART = 3_000;
+/** A crashed server restarts as a new one at its address after this many milliseconds and up to half a second more. */
+const RESTART_DELAY = 3_000;
 const RESTART_SPREAD = 500;
-/** The entry of a server that has crashed stays for three of its heartbeats. */
-const ENTRY_LAPSE = 4_500;
-const PATIENCE = 800;
+/** The entry of a crashed server stays in the list for three heartbeat intervals: this many milliseconds. */
+const ENTRY_LIFETIME = 4_500;
+const CALLER_TIMEOUT = 800;
 
 function routeTo(service: string, repeatable: boolean): Route {
   const [route] = KEYED_CONFIGURATION.routes;
@@ -44,43 +44,46 @@
   };
 }
 
-/** A keyed service and a plain one, each with a route that may be repeated and one that may not. */
+/** A keyed and a balanced service, each with a route for repeatable and one for non-repeatable requests. */
 export const CONFIGURATION: Configuration = {
   ...KEYED_CONFIGURATION,
   version: 2,
-  routes: [KEYED, PLAIN].flatMap((service) => [routeTo(service, true), routeTo(service, false)]),
+  routes: [KEYED, BALANCED_SERVICE].flatMap((service) => [routeTo(service, true), routeTo(service, false)]),
   services: new Map([
     ...KEYED_CONFIGURATION.services,
-    [PLAIN, { ...(KEYED_CONFIGURATION.services.get(KEYED) as Service), name: PLAIN, keyed: false }],
+    [
+      BALANCED_SERVICE,
+      { ...(KEYED_CONFIGURATION.services.get(KEYED) as Service), name: BALANCED_SERVICE, keyed: false },
+    ],
   ]),
 };
 
-/** A request as callers repeat it: the same name means the same method, path, caller and body. */
+/** A request that callers may repeat: the same name means the same method, path, caller and body. */
 export interface NamedRequest {
   readonly name: string;
-  /** Of the route. */
+  /** The name of the route. */
   readonly route: string;
   readonly key: number;
 }
 
 /** A request that reached a server. */
-export interface Send {
+export interface Delivery {
   readonly name: string;
   readonly server: string;
-  readonly daemon: Daemon;
+  readonly daemon: SimulatedDaemon;
   readonly at: number;
 }
 
-/** What a caller was told. */
-export interface Told {
+/** A response to a caller. */
+export interface CallerResponse {
   readonly name: string;
   readonly status: number;
   readonly reason: string;
   readonly at: number;
 }
 
-/** How long a caller waited for the daemon's own answer. */
-export interface Wait {
+/** How long a caller waited for a response of the daemon's own, in milliseconds. */
+export interface ResponseTime {
   readonly status: number;
   readonly waited: number;
   readonly retryAfter: number | null;
@@ -88,129 +91,129 @@
 
 interface RunningAttempt {
   readonly name: string;
-  readonly daemon: Daemon;
+  readonly daemon: SimulatedDaemon;
   readonly life: number;
   readonly effect: ForwardEffect;
-  /** By the daemon's clock. */
+  /** Send time by the daemon's clock. */
   readonly sentAt: number;
   isOver: boolean;
 }
 
-export class RequestTraffic implements RequestCarrier {
-  /** Names of requests under which each server ends that runs them. */
-  readonly deadly = new Set<string>();
-  /** Servers that reject every request and ask for so much rest, in ms. */
-  readonly resting = new Map<ModelServer, number>();
-  readonly sends: Send[] = [];
+export class RequestTraffic implements RequestEffectHandler {
+  /** Names of requests that crash every server that executes them. */
+  readonly crashingRequests = new Set<string>();
+  /** Servers that reject every request and ask for a back-off, with its duration in milliseconds. */
+  readonly backOffs = new Map<SimulatedServer, number>();
+  readonly deliveries: Delivery[] = [];
   readonly crashes: { readonly name: string; readonly server: string; readonly at: number }[] = [];
-  /** When each copy of a request was lost with a server that ended. */
+  /** Copies of requests that were lost with a server that ended, and when. */
   readonly lostCopies: { readonly name: string; readonly at: number }[] = [];
-  readonly told: Told[] = [];
-  /** When each daemon first had an answer that named the server's limit, by server and daemon. */
-  readonly toldLimits = new Map<string, Map<Daemon, number>>();
-  readonly waits: Wait[] = [];
-  readonly #world: RouterWorld;
-  readonly #askedAt = new Map<string, number>();
+  readonly responses: CallerResponse[] = [];
+  /** When each daemon first received a response that stated the server's rate limit, by server and daemon. */
+  readonly limitFirstReceivedAt = new Map<string, Map<SimulatedDaemon, number>>();
+  readonly responseTimes: ResponseTime[] = [];
+  readonly #simulation: RouterSimulation;
+  readonly #arrivedAt = new Map<string, number>();
   readonly #names = new Map<string, string>();
-  readonly #running = new Map<ModelServer, RunningAttempt[]>();
-  readonly #slotFreeAt = new Map<ModelServer, number[]>();
+  readonly #running = new Map<SimulatedServer, RunningAttempt[]>();
+  readonly #slotFreeAt = new Map<SimulatedServer, number[]>();
   #nextRequest = 1;
 
-  constructor(world: RouterWorld, plainServers: number) {
-    this.#world = world;
-    world.requests = this;
-    world.configure(CONFIGURATION);
+  constructor(simulation: RouterSimulation, plainServers: number) {
+    this.#simulation = simulation;
+    simulation.requests = this;
+    simulation.configure(CONFIGURATION);
     for (let index = 0; index < plainServers; index += 1) {
-      world.addServer(`10.0.3.${index}:80`, PLAIN);
+      simulation.addServer(`10.0.3.${index}:80`, BALANCED_SERVICE);
     }
   }
 
-  /** A caller's try at a daemon. */
-  ask(daemon: Daemon, { name, route, key }: NamedRequest): void {
+  /** Sends one attempt of a caller's request to a daemon. */
+  sendRequest(daemon: SimulatedDaemon, { name, route, key }: NamedRequest): void {
     if (!daemon.alive) {
       return;
     }
     const requestId = this.#nextRequest;
     this.#nextRequest += 1;
     this.#names.set(this.#keyOf(daemon, requestId), name);
-    this.#askedAt.set(this.#keyOf(daemon, requestId), this.#world.clock.now);
-    this.#world.deliver(daemon, {
+    this.#arrivedAt.set(this.#keyOf(daemon, requestId), this.#simulation.clock.now);
+    this.#simulation.deliver(daemon, {
       kind: 'requestArrived',
       requestId,
       attemptId: `a-${requestId}`,
       method: 'GET',
       host: 'h.example',
       target: `/${route}/${name}`,
-      callerPatience: PATIENCE,
+      callerPatience: CALLER_TIMEOUT,
       key,
       fingerprint: fingerprintOf(name),
       readDelay: 0,
     });
   }
 
-  perform(daemon: Daemon, effect: Effect): void {
-    const { now } = this.#world.clock;
+  perform(daemon: SimulatedDaemon, effect: Effect): void {
+    const { now } = this.#simulation.clock;
     if (effect.kind === 'forward') {
       this.#forward(daemon, effect);
     } else if (effect.kind === 'cancel') {
       this.#cancel(daemon, effect.requestId);
     } else if (effect.kind === 'answer') {
       const name = this.#names.get(this.#keyOf(daemon, effect.requestId)) ?? '';
-      this.told.push({ name, status: effect.status, reason: effect.reason, at: now });
-      const waited = now - (this.#askedAt.get(this.#keyOf(daemon, effect.requestId)) ?? now);
-      this.waits.push({ status: effect.status, waited, retryAfter: effect.retryAfter });
+      this.responses.push({ name, status: effect.status, reason: effect.reason, at: now });
+      const waited = now - (this.#arrivedAt.get(this.#keyOf(daemon, effect.requestId)) ?? now);
+      this.responseTimes.push({ status: effect.status, waited, retryAfter: effect.retryAfter });
     }
   }
 
-  /** A server's process ends, whatever it was running. */
-  crash(server: ModelServer, comesBack = true): void {
-    const { clock } = this.#world;
+  /** Ends a server's process, with all requests that it was processing. */
+  crash(server: SimulatedServer, comesBack = true): void {
+    const { clock } = this.#simulation;
     server.alive = false;
-    server.refuses = true;
-    this.reset(server);
-    clock.after(ENTRY_LAPSE, () => this.#world.unlist(server.id));
+    server.refusesConnections = true;
+    this.resetConnections(server);
+    clock.schedule(ENTRY_LIFETIME, () => this.#simulation.removeEntry(server.id));
     if (comesBack) {
-      const service = server.address.startsWith('10.0.3.') ? PLAIN : KEYED;
-      const delay = RESTART + this.#world.random.fraction() * RESTART_SPREAD;
-      clock.after(delay, () => this.#world.addServer(server.address, service));
+      const service = server.address.startsWith('10.0.3.') ? BALANCED_SERVICE : KEYED;
+      const delay = RESTART_DELAY + this.#simulation.random.fraction() * RESTART_SPREAD;
+      clock.schedule(delay, () => this.#simulation.addServer(server.address, service));
     }
   }
 
-  /** Every connection to a server is reset; what it was running is lost. */
-  reset(server: ModelServer): void {
+  /** Resets every connection to a server; the requests that it was processing are lost. */
+  resetConnections(server: SimulatedServer): void {
     const lost = this.#running.get(server) ?? [];
     this.#running.delete(server);
     this.#slotFreeAt.delete(server);
     for (const attempt of lost) {
-      this.lostCopies.push({ name: attempt.name, at: this.#world.clock.now });
+      this.lostCopies.push({ name: attempt.name, at: this.#simulation.clock.now });
       const reason = 'other side closed';
-      this.#end(attempt, { kind: 'lost', reason, answerBegun: false, connectionEnded: true });
+      this.#end(attempt, { kind: 'lost', reason, isResponseStarted: false, isClosedByServer: true });
     }
   }
 
-  #keyOf(daemon: Daemon, requestId: number): string {
+  #keyOf(daemon: SimulatedDaemon, requestId: number): string {
     return `${daemon.name}/${requestId}`;
   }
 
-  #forward(daemon: Daemon, effect: ForwardEffect): void {
+  #forward(daemon: SimulatedDaemon, effect: ForwardEffect): void {
     const name = this.#names.get(this.#keyOf(daemon, effect.requestId)) ?? '';
     const sentAt = daemon.clock.now();
     const attempt: RunningAttempt = { name, daemon, life: daemon.life, effect, sentAt, isOver: false };
-    const server = this.#world.servers.findLast(({ address }) => address === effect.address);
-    if (server === undefined || !server.reachable || (!server.alive && !server.refuses)) {
+    const server = this.#simulation.servers.findLast(({ address }) => address === effect.address);
+    if (server === undefined || !server.reachable || (!server.alive && !server.refusesConnections)) {
       this.#endAfter(CONNECT_TIMEOUT, attempt, { kind: 'notSent', reason: 'timeout', refused: false });
     } else if (!server.alive) {
       this.#endAfter(NETWORK_DELAY, attempt, { kind: 'notSent', reason: 'ECONNREFUSED', refused: true });
     } else {
-      this.#world.clock.after(NETWORK_DELAY, () => this.#arrive(server, attempt));
+      this.#simulation.clock.schedule(NETWORK_DELAY, () => this.#arrive(server, attempt));
     }
   }
 
-  #arrive(server: ModelServer, attempt: RunningAttempt): void {
-    const { clock, random } = this.#world;
+  #arrive(server: SimulatedServer, attempt: RunningAttempt): void {
+    const { clock, random } = this.#simulation;
     const { effect, daemon, name } = attempt;
     if (!server.alive) {
-      this.#end(attempt, { kind: 'lost', reason: 'reset', answerBegun: false, connectionEnded: true });
+      this.#end(attempt, { kind: 'lost', reason: 'reset', isResponseStarted: false, isClosedByServer: true });
       return;
     }
     const isKeyed = !server.address.startsWith('10.0.3.');
@@ -224,42 +227,42 @@
       });
       return;
     }
-    this.sends.push({ name, server: server.id, daemon, at: clock.now });
-    const rest = this.resting.get(server);
+    this.deliveries.push({ name, server: server.id, daemon, at: clock.now });
+    const rest = this.backOffs.get(server);
     if (rest !== undefined) {
-      clock.after(NETWORK_DELAY, () => this.#reject(server, attempt, rest));
+      clock.schedule(NETWORK_DELAY, () => this.#reject(server, attempt, rest));
       return;
     }
     const slots = this.#slotFreeAt.get(server) ?? Array.from({ length: SLOTS }, () => 0);
     this.#slotFreeAt.set(server, slots);
     const slot = slots.indexOf(Math.min(...slots));
     const startsAt = Math.max(clock.now, slots[slot] as number);
-    if (startsAt - clock.now > LONGEST_WAIT) {
-      this.#end(attempt, { kind: 'lost', reason: 'reset', answerBegun: false, connectionEnded: true });
+    if (startsAt - clock.now > MAX_QUEUE_TIME) {
+      this.#end(attempt, { kind: 'lost', reason: 'reset', isResponseStarted: false, isClosedByServer: true });
       return;
     }
     const work = SHORTEST_WORK + random.fraction() * (LONGEST_WORK - SHORTEST_WORK);
     slots[slot] = startsAt + work;
     this.#running.set(server, [...(this.#running.get(server) ?? []), attempt]);
-    clock.after(startsAt + work - clock.now, () => this.#finish(server, attempt));
+    clock.schedule(startsAt + work - clock.now, () => this.#finish(server, attempt));
   }
 
-  #reject(server: ModelServer, attempt: RunningAttempt, rest: number): void {
+  #reject(server: SimulatedServer, attempt: RunningAttempt, rest: number): void {
     const { daemon, life, effect } = attempt;
-    this.#tellLimit(server, attempt, server.limit);
+    this.#reportLimit(server, attempt, server.limit);
     if (daemon.life === life) {
       const notice = { leaving: false, rest };
-      this.#world.deliver(daemon, { kind: 'serverNoticed', server: effect.server, notice });
+      this.#simulation.deliver(daemon, { kind: 'serverNoticed', server: effect.server, notice });
     }
     this.#end(attempt, { kind: 'rejected', status: 503, misdirected: false, load: null });
   }
 
-  #finish(server: ModelServer, attempt: RunningAttempt): void {
+  #finish(server: SimulatedServer, attempt: RunningAttempt): void {
     if (attempt.isOver || !server.alive) {
       return;
     }
-    if (this.deadly.has(attempt.name)) {
-      this.crashes.push({ name: attempt.name, server: server.id, at: this.#world.clock.now });
+    if (this.crashingRequests.has(attempt.name)) {
+      this.crashes.push({ name: attempt.name, server: server.id, at: this.#simulation.clock.now });
       this.crash(server);
       return;
     }
@@ -269,24 +272,24 @@
       others.filter((other) => other !== attempt),
     );
     const { name } = attempt;
-    this.told.push({ name, status: 200, reason: '', at: this.#world.clock.now });
+    this.responses.push({ name, status: 200, reason: '', at: this.#simulation.clock.now });
     const { limit } = server;
-    this.#world.clock.after(NETWORK_DELAY, () => this.#tellLimit(server, attempt, limit));
+    this.#simulation.clock.schedule(NETWORK_DELAY, () => this.#reportLimit(server, attempt, limit));
     this.#endAfter(NETWORK_DELAY, attempt, { kind: 'answered', status: 200, load: null });
   }
 
-  /** An answer names the limit that its server had when it was made, or none. */
-  #tellLimit(server: ModelServer, attempt: RunningAttempt, limit: number | null): void {
+  /** Reports the rate limit in a response: the one that the server had when it produced the response, or none. */
+  #reportLimit(server: SimulatedServer, attempt: RunningAttempt, limit: number | null): void {
     const { daemon, life, effect, sentAt } = attempt;
     if (daemon.life !== life || attempt.isOver || (limit === null && !effect.isLimited)) {
       return;
     }
     if (limit !== null) {
-      const told = this.toldLimits.get(server.id) ?? new Map<Daemon, number>();
-      this.toldLimits.set(server.id, told);
-      told.set(daemon, Math.min(told.get(daemon) ?? Number.POSITIVE_INFINITY, this.#world.clock.now));
+      const told = this.limitFirstReceivedAt.get(server.id) ?? new Map<SimulatedDaemon, number>();
+      this.limitFirstReceivedAt.set(server.id, told);
+      told.set(daemon, Math.min(told.get(daemon) ?? Number.POSITIVE_INFINITY, this.#simulation.clock.now));
     }
-    this.#world.deliver(daemon, {
+    this.#simulation.deliver(daemon, {
       kind: 'serverLimitRead',
       server: effect.server,
       reading: limit,
@@ -294,7 +297,7 @@
     });
   }
 
-  #cancel(daemon: Daemon, requestId: number): void {
+  #cancel(daemon: SimulatedDaemon, requestId: number): void {
     for (const attempts of this.#running.values()) {
       const found = attempts.find(
         (attempt) => attempt.daemon === daemon && attempt.effect.requestId === requestId && !attempt.isOver,
@@ -306,10 +309,10 @@
   }
 
   #endAfter(delay: number, attempt: RunningAttempt, result: AttemptResult): void {
-    this.#world.clock.after(delay, () => this.#end(attempt, result));
+    this.#simulation.clock.schedule(delay, () => this.#end(attempt, result));
   }
 
-  /** The daemon learns how an attempt ended, unless it has given it up or is another life by now. */
+  /** Reports the end of an attempt to the daemon, unless the daemon has cancelled it or has restarted. */
   #end(attempt: RunningAttempt, result: AttemptResult): void {
     const { daemon, life, effect } = attempt;
     if (attempt.isOver || daemon.life !== life) {
@@ -317,6 +320,6 @@
     }
     attempt.isOver = true;
     const { requestId, attempt: number } = effect;
-    this.#world.deliver(daemon, { kind: 'attemptEnded', requestId, attempt: number, result });
+    this.#simulation.deliver(daemon, { kind: 'attemptEnded', requestId, attempt: number, result });
   }
 }
