--- a/test/router/support/router-world.ts
+++ b/test/router/support/router-simulation.ts
@@ -1,9 +1,9 @@
-/** Router daemons in virtual time with a model of the store and of keyed servers, under random faults. */
+/** Simulates router daemons, the store and servers in virtual time, with faults. */
 import { SeededRandom } from '../../../src/core/random.js';
 import type { Effect } from '../../../src/router/effects.js';
 import type { RouterEvent } from '../../../src/router/events.js';
 import type { Configuration } from '../../../src/router/model/configuration.js';
-import { buildServerId, instanceOf } from '../../../src/router/model/server-life.js';
+import { buildServerId, instanceOf } from '../../../src/router/model/server-incarnation.js';
 import type { ServerDescription } from '../../../src/router/model/server.js';
 import type { PeerMessage } from '../../../src/router/peers/messages.js';
 import { watchTime } from '../../../src/router/news/store-watch-timing.js';
@@ -11,75 +11,81 @@
 import type { DaemonClock } from '../../../src/clock/daemon-clock.js';
 import { StoreFeeds } from '../../../src/router-runtime/store-feeds.js';
 import { createRouterState, type RouterState } from '../../../src/router/router-state.js';
-import { ModelServer, carryCall, OwnerChecker, WATCHED_KEYS, type CallTroubles } from './model-server.js';
-import { ModelFeed } from './model-feed.js';
-import { type BootClock, Machine, SOUND_BOOT_CLOCK } from './machine.js';
-import { ModelStore } from './model-store.js';
+import {
+  SimulatedServer,
+  simulateCall,
+  OwnerChecker,
+  CHECKED_KEYS,
+  type CallFaults,
+} from './simulated-server.js';
+import { SimulatedFeed } from './simulated-feed.js';
+import { type BootClock, SimulatedMachine, ORDINARY_BOOT_CLOCK } from './simulated-machine.js';
+import { SimulatedStore } from './simulated-store.js';
 import { VirtualClock } from './virtual-clock.js';
 import { BOUNDS } from './bounds.js';
-import { CONFIGURATION, SERVICE } from './world-configuration.js';
+import { CONFIGURATION, KEYED_SERVICE } from './simulation-configuration.js';
 
-export { CONFIGURATION, SERVICE };
+export { CONFIGURATION, KEYED_SERVICE as SERVICE };
 
 const TICK = 20;
 const LINK_DELAY = 1;
-/** A link that broke is opened again after this long. */
+/** Interval in milliseconds at which a link is checked and, if broken, opened again. */
 const LINK_RETRY = 150;
-/** The link on which a daemon hears its parent. */
-const PARENT_LINK = -1;
-/** Outcomes of a call that come with an answer of the server that was meant. */
-const ANSWERED: ReadonlySet<string> = new Set(['accepted', 'higherFence', 'rejected']);
-/** One life of a daemon. */
-export interface Daemon {
+/** Number of the link on which a daemon receives its parent's messages. */
+const PARENT_LINK_NUMBER = -1;
+/** Outcomes of a control call for which the intended server responded. */
+const ANSWERED_OUTCOMES: ReadonlySet<string> = new Set(['accepted', 'higherFence', 'rejected']);
+/** A daemon with the state of its current incarnation. */
+export interface SimulatedDaemon {
   readonly name: string;
   readonly address: string;
   state: RouterState;
   life: number;
   alive: boolean;
-  /** Other daemons reach it. */
+  /** Whether other daemons can reach this daemon. */
   peersReachable: boolean;
-  /** It reaches the store. */
+  /** Whether the daemon can reach the store. */
   storeReachable: boolean;
-  /** Its process stands still until this time; what reaches it waits. */
-  frozenUntil: number;
-  readonly machine: Machine;
+  /** The process is paused until this time; events for it wait. */
+  pausedUntil: number;
+  readonly machine: SimulatedMachine;
   clock: DaemonClock;
-  following: string | null;
-  /** What it lists and watches in the store; null before its first start. */
+  parentAddress: string | null;
+  /** The lists and watches of the daemon in the store; null before its first start. */
   feeds: StoreFeeds | null;
 }
 
-/** What a world of requests does with the effects that concern them. */
-export interface RequestCarrier {
-  perform(daemon: Daemon, effect: Effect): void;
+/** Performs the effects that concern callers' requests. */
+export interface RequestEffectHandler {
+  perform(daemon: SimulatedDaemon, effect: Effect): void;
 }
 
-export class RouterWorld {
+export class RouterSimulation {
   readonly clock = new VirtualClock();
   readonly random: SeededRandom;
-  readonly store: ModelStore;
+  readonly store: SimulatedStore;
   readonly checker = new OwnerChecker();
-  readonly servers: ModelServer[] = [];
-  readonly daemons: Daemon[] = [];
-  readonly troubles: CallTroubles = { lateShare: 0 };
+  readonly servers: SimulatedServer[] = [];
+  readonly daemons: SimulatedDaemon[] = [];
+  readonly callFaults: CallFaults = { lateCallShare: 0 };
   readonly events: string[] = [];
-  bootClock: BootClock = SOUND_BOOT_CLOCK;
-  /** Carries out what daemons do with requests; null: nobody asks for anything. */
-  requests: RequestCarrier | null = null;
-  readonly configurations: ModelFeed<Configuration>;
-  readonly serverEntries: ModelFeed<ServerDescription>;
-  readonly evacuations: ModelFeed<string>;
+  bootClock: BootClock = ORDINARY_BOOT_CLOCK;
+  /** Performs the daemons' effects on requests; null: there are no requests. */
+  requests: RequestEffectHandler | null = null;
+  readonly configurations: SimulatedFeed<Configuration>;
+  readonly serverEntries: SimulatedFeed<ServerDescription>;
+  readonly evacuations: SimulatedFeed<string>;
   #evacuated: readonly string[] = [];
   readonly #entries = new Map<string, ServerDescription>();
-  #lives = 0;
+  #lastIncarnation = 0;
   #nextServer = 0;
 
   constructor(seed: number, daemonCount = 3, serverCount = 5) {
     this.random = new SeededRandom(seed);
-    this.store = new ModelStore(this.clock, this.random);
-    this.configurations = new ModelFeed('configuration', this.clock, this.store);
-    this.serverEntries = new ModelFeed('servers', this.clock, this.store);
-    this.evacuations = new ModelFeed('evacuations', this.clock, this.store);
+    this.store = new SimulatedStore(this.clock, this.random);
+    this.configurations = new SimulatedFeed('configuration', this.clock, this.store);
+    this.serverEntries = new SimulatedFeed('servers', this.clock, this.store);
+    this.evacuations = new SimulatedFeed('evacuations', this.clock, this.store);
     this.configure(CONFIGURATION);
     for (let index = 0; index < serverCount; index += 1) {
       this.addServer(`10.0.1.${index}:80`);
@@ -87,17 +93,17 @@
     for (let index = 0; index < daemonCount; index += 1) {
       this.#addDaemon(`d${index}`, `10.0.0.${index}:70`);
     }
-    this.clock.after(0, () => this.#tickAll());
+    this.clock.schedule(0, () => this.#tickAll());
   }
 
-  /** Times in ms: how much later its entry comes, and how long it is cold then. */
+  /** Adds a server. `listedAfter` delays its entry, and `warmupLeft` is its warm-up then, both in milliseconds. */
   addServer(
     address: string,
-    service = SERVICE,
+    service = KEYED_SERVICE,
     { listedAfter = 0, warmupLeft = 0 }: { listedAfter?: number; warmupLeft?: number } = {},
-  ): ModelServer {
+  ): SimulatedServer {
     this.#nextServer += 1;
-    const server = new ModelServer(`s${this.#nextServer}`, address, this.clock, this.checker);
+    const server = new SimulatedServer(`s${this.#nextServer}`, address, this.clock, this.checker);
     this.servers.push(server);
     const entry = {
       id: server.id,
@@ -111,42 +117,42 @@
       revision: 0,
     };
     if (listedAfter === 0) {
-      this.#list(entry);
+      this.#writeEntry(entry);
     } else {
-      this.clock.after(listedAfter, () => this.#list(entry));
+      this.clock.schedule(listedAfter, () => this.#writeEntry(entry));
     }
     return server;
   }
 
   /** Writes a server's entry at the store's next revision. */
-  #list(entry: ServerDescription): void {
+  #writeEntry(entry: ServerDescription): void {
     const revision = this.store.revision + 1;
     const instance = instanceOf(entry.id);
     this.#entries.set(instance, { ...entry, revision });
     this.serverEntries.put(instance, { ...entry, revision });
   }
 
-  /** A server crashes and starts again at its address, under the name that it had; its entry never goes. */
-  restartServer(server: ModelServer, born: number): ModelServer {
+  /** Crashes a server and restarts it at its address under its former name; its entry is replaced but never removed. */
+  restartServer(server: SimulatedServer, born: number): SimulatedServer {
     const entry = this.#entries.get(instanceOf(server.id));
     if (entry === undefined) {
       throw new Error(`${server.id} is not listed`);
     }
     server.alive = false;
     const id = buildServerId(instanceOf(server.id), born);
-    const next = new ModelServer(id, server.address, this.clock, this.checker);
+    const next = new SimulatedServer(id, server.address, this.clock, this.checker);
     this.servers.push(next);
-    this.#list({ ...entry, id });
+    this.#writeEntry({ ...entry, id });
     return next;
   }
 
-  /** Operators put another configuration into the store. */
+  /** Writes a new configuration to the store. */
   configure(configuration: Configuration): void {
     this.configurations.put('main', configuration);
   }
 
-  /** Takes a server off the list. */
-  unlist(id: string): void {
+  /** Removes a server from the list. */
+  removeEntry(id: string): void {
     this.#entries.delete(id);
     this.serverEntries.put(id, null);
   }
@@ -154,19 +160,19 @@
   drain(id: string): void {
     const entry = this.#entries.get(id);
     if (entry !== undefined) {
-      this.#list({ ...entry, draining: true });
+      this.#writeEntry({ ...entry, draining: true });
     }
   }
 
-  /** A server's entry tells another number of slots. */
-  resize(id: string, slots: number): void {
+  /** Changes the number of slots in a server's entry. */
+  changeSlots(id: string, slots: number): void {
     const entry = this.#entries.get(id);
     if (entry !== undefined) {
-      this.#list({ ...entry, slots });
+      this.#writeEntry({ ...entry, slots });
     }
   }
 
-  /** Operators evacuate these zones and no other ones. */
+  /** Evacuates the given zones and ends the evacuation of all others. */
   evacuate(zones: readonly string[]): void {
     const former = this.#evacuated;
     this.#evacuated = zones;
@@ -174,54 +180,54 @@
     former.filter((zone) => !zones.includes(zone)).forEach((zone) => this.evacuations.put(zone, null));
   }
 
-  /** Connections to the store on which daemons wait go silent, without a reset. */
-  silenceWatches(): void {
-    [this.configurations, this.serverEntries, this.evacuations].forEach((feed) => feed.silenceWatches());
+  /** Makes the connections of all waiting watches unresponsive, without a reset. */
+  blockWatches(): void {
+    [this.configurations, this.serverEntries, this.evacuations].forEach((feed) => feed.blockWatches());
   }
 
   #addDaemon(name: string, address: string): void {
-    const machine = new Machine(this.clock);
-    const daemon: Daemon = {
+    const machine = new SimulatedMachine(this.clock);
+    const daemon: SimulatedDaemon = {
       name,
       address,
-      state: this.#freshState(name, address),
-      life: this.#lives,
+      state: this.#createState(name, address),
+      life: this.#lastIncarnation,
       alive: false,
       peersReachable: true,
       storeReachable: true,
-      frozenUntil: 0,
+      pausedUntil: 0,
       machine,
       clock: machine.createClock(this.bootClock),
-      following: null,
+      parentAddress: null,
       feeds: null,
     };
     this.daemons.push(daemon);
     this.startDaemon(daemon);
   }
 
-  #freshState(daemon: string, peerAddress: string): RouterState {
-    this.#lives += 1;
+  #createState(daemon: string, peerAddress: string): RouterState {
+    this.#lastIncarnation += 1;
     const isFirstStart = this.clock.now === 0;
-    const identity = { daemon, zone: 'z0', peerAddress, life: this.#lives, isFirstStart };
-    return createRouterState(identity, BOUNDS, this.#lives);
+    const identity = { daemon, zone: 'z0', peerAddress, life: this.#lastIncarnation, isFirstStart };
+    return createRouterState(identity, BOUNDS, this.#lastIncarnation);
   }
 
-  startDaemon(daemon: Daemon): void {
+  startDaemon(daemon: SimulatedDaemon): void {
     daemon.clock = daemon.machine.createClock((now) => this.bootClock(now));
-    daemon.state = this.#freshState(daemon.name, daemon.address);
-    daemon.life = this.#lives;
+    daemon.state = this.#createState(daemon.name, daemon.address);
+    daemon.life = this.#lastIncarnation;
     daemon.alive = true;
-    daemon.following = null;
+    daemon.parentAddress = null;
     daemon.feeds?.close();
     daemon.feeds = this.#createFeeds(daemon, daemon.life);
   }
 
-  #createFeeds(daemon: Daemon, life: number): StoreFeeds {
+  #createFeeds(daemon: SimulatedDaemon, life: number): StoreFeeds {
     const isReachable = (): boolean => daemon.storeReachable;
     const sources = {
-      configuration: this.configurations.sourceFor(isReachable),
-      servers: this.serverEntries.sourceFor(isReachable),
-      evacuations: this.evacuations.sourceFor(isReachable),
+      configuration: this.configurations.createSource(isReachable),
+      servers: this.serverEntries.createSource(isReachable),
+      evacuations: this.evacuations.createSource(isReachable),
     };
     return new StoreFeeds(sources, (event) => this.#deliver(daemon, life, event), {
       timers: daemon.machine.createTimers(() => daemon.clock),
@@ -229,31 +235,31 @@
     });
   }
 
-  /** Suspends a daemon's machine: what reaches it waits, and its steady clock stands still. */
-  suspend(daemon: Daemon, length: number): void {
-    if (daemon.frozenUntil > this.clock.now) {
+  /** Suspends a daemon's machine: events for the daemon wait, and its monotonic clock stops. */
+  suspend(daemon: SimulatedDaemon, length: number): void {
+    if (daemon.pausedUntil > this.clock.now) {
       return;
     }
     const until = this.clock.now + length;
-    daemon.frozenUntil = until;
+    daemon.pausedUntil = until;
     daemon.machine.suspend(until);
-    // A timer may fire before what waits in the sockets is read.
-    this.clock.after(length, () => this.deliver(daemon, { kind: 'tick' }));
+    // After the suspension a timer may fire before data in the sockets is read.
+    this.clock.schedule(length, () => this.deliver(daemon, { kind: 'tick' }));
   }
 
-  /** A planned stop: the process goes on for a while, and another one starts after it. */
-  stopDaemon(daemon: Daemon, lingering: number): void {
+  /** Performs a planned stop: the process continues for a while, ends, and another one starts after it. */
+  stopDaemon(daemon: SimulatedDaemon, lingering: number): void {
     const { life } = daemon;
     this.#deliver(daemon, life, { kind: 'stopping' });
-    this.clock.after(lingering, () => {
+    this.clock.schedule(lingering, () => {
       if (daemon.life === life) {
         daemon.alive = false;
-        this.clock.after(500, () => this.startDaemon(daemon));
+        this.clock.schedule(500, () => this.startDaemon(daemon));
       }
     });
   }
 
-  leader(): Daemon | undefined {
+  leader(): SimulatedDaemon | undefined {
     const leaders = this.daemons.filter((daemon) => daemon.alive && daemon.state.leadership !== null);
     return leaders.sort(
       (left, right) => right.state.election.leaderRevision - left.state.election.leaderRevision,
@@ -262,28 +268,28 @@
 
   #tickAll(): void {
     for (const daemon of this.daemons) {
-      if (daemon.frozenUntil <= this.clock.now) {
+      if (daemon.pausedUntil <= this.clock.now) {
         this.#deliver(daemon, daemon.life, { kind: 'tick' });
       }
     }
-    this.clock.after(TICK, () => this.#tickAll());
+    this.clock.schedule(TICK, () => this.#tickAll());
   }
 
-  /** Keys that callers ask for at every daemon now. */
-  ask(keys: readonly number[]): void {
+  /** Counts a request for each of the keys at every daemon. */
+  countKeyRequests(keys: readonly number[]): void {
     for (const daemon of this.daemons) {
-      const tally = daemon.state.keyTallies.get(SERVICE) ?? new Map<number, number>();
+      const tally = daemon.state.keyTallies.get(KEYED_SERVICE) ?? new Map<number, number>();
       keys.forEach((key) => tally.set(key, (tally.get(key) ?? 0) + 1));
-      daemon.state.keyTallies.set(SERVICE, tally);
+      daemon.state.keyTallies.set(KEYED_SERVICE, tally);
     }
   }
 
-  #deliver(daemon: Daemon, life: number, event: RouterEvent): void {
+  #deliver(daemon: SimulatedDaemon, life: number, event: RouterEvent): void {
     if (!daemon.alive || daemon.life !== life) {
       return;
     }
-    if (daemon.frozenUntil > this.clock.now) {
-      this.clock.after(daemon.frozenUntil - this.clock.now, () => this.#deliver(daemon, life, event));
+    if (daemon.pausedUntil > this.clock.now) {
+      this.clock.schedule(daemon.pausedUntil - this.clock.now, () => this.#deliver(daemon, life, event));
       return;
     }
     daemon.clock.now();
@@ -294,13 +300,13 @@
     this.#reduce(daemon, event);
   }
 
-  #reduce(daemon: Daemon, event: RouterEvent): void {
+  #reduce(daemon: SimulatedDaemon, event: RouterEvent): void {
     for (const effect of reduce(daemon.state, daemon.clock.now(), event)) {
       this.#perform(daemon, effect);
     }
   }
 
-  #perform(daemon: Daemon, effect: Effect): void {
+  #perform(daemon: SimulatedDaemon, effect: Effect): void {
     const { life } = daemon;
     const sentAt = daemon.clock.now();
     switch (effect.kind) {
@@ -319,20 +325,20 @@
           },
         );
       case 'control': {
-        // The address answers for whoever lives there now.
-        const there = this.servers.findLast((server) => server.address === effect.address);
-        return carryCall(this.clock, this.random, there, effect, this.troubles, (outcome) => {
-          if (there !== undefined && ANSWERED.has(outcome.kind)) {
+        // The call reaches the server that has the address now, which may be another one than the daemon means.
+        const receiver = this.servers.findLast((server) => server.address === effect.address);
+        return simulateCall(this.clock, this.random, receiver, effect, this.callFaults, (outcome) => {
+          if (receiver !== undefined && ANSWERED_OUTCOMES.has(outcome.kind)) {
             const { server } = effect;
-            this.#deliver(daemon, life, { kind: 'serverLimitRead', server, reading: there.limit, sentAt });
+            this.#deliver(daemon, life, { kind: 'serverLimitRead', server, reading: receiver.limit, sentAt });
           }
           this.#deliver(daemon, life, { kind: 'controlEnded', callId: effect.callId, outcome });
         });
       }
       case 'follow':
-        this.#leave(daemon, daemon.following);
-        daemon.following = effect.address;
-        this.#watchLink(daemon, life, effect.address, false);
+        this.#closeLink(daemon, daemon.parentAddress);
+        daemon.parentAddress = effect.address;
+        this.#checkLink(daemon, life, effect.address, false);
         return;
       case 'followStore':
         return daemon.feeds?.followStore(effect);
@@ -341,16 +347,16 @@
       case 'refreshFeed':
         return daemon.feeds?.refresh(effect.feed);
       case 'sendToParent': {
-        const parent = this.daemons.find((other) => other.address === daemon.following);
+        const parent = this.daemons.find((other) => other.address === daemon.parentAddress);
         return parent === undefined
           ? undefined
-          : this.#pass(daemon, parent, this.daemons.indexOf(daemon), effect.message);
+          : this.#sendMessage(daemon, parent, this.daemons.indexOf(daemon), effect.message);
       }
       case 'sendToChildren':
         for (const child of this.daemons) {
           const chosen = effect.link === null || effect.link === this.daemons.indexOf(child);
-          if (chosen && child !== daemon && child.following === daemon.address) {
-            this.#pass(daemon, child, PARENT_LINK, effect.message);
+          if (chosen && child !== daemon && child.parentAddress === daemon.address) {
+            this.#sendMessage(daemon, child, PARENT_LINK_NUMBER, effect.message);
           }
         }
         return;
@@ -364,28 +370,28 @@
     }
   }
 
-  /** Something happens to a daemon in the life that it has now. */
-  deliver(daemon: Daemon, event: RouterEvent): void {
+  /** Delivers an event to the current incarnation of a daemon. */
+  deliver(daemon: SimulatedDaemon, event: RouterEvent): void {
     this.#deliver(daemon, daemon.life, event);
   }
 
-  /** The parent at an address sees that a daemon's link has ended. */
-  #leave(daemon: Daemon, address: string | null): void {
+  /** Tells the parent at an address that a daemon's link has closed. */
+  #closeLink(daemon: SimulatedDaemon, address: string | null): void {
     const parent = this.daemons.find((other) => other.address === address);
     if (parent !== undefined) {
       const { life } = parent;
       const link = this.daemons.indexOf(daemon);
-      this.clock.after(LINK_DELAY, () => this.#deliver(parent, life, { kind: 'peerLeft', link }));
+      this.clock.schedule(LINK_DELAY, () => this.#deliver(parent, life, { kind: 'peerLeft', link }));
     }
   }
 
-  /** Tells a daemon when the process that it follows is gone, or is there: nothing listens there in between. */
-  #watchLink(daemon: Daemon, life: number, address: string | null, wasOpen: boolean): void {
-    if (address === null || daemon.following !== address || daemon.life !== life) {
+  /** Checks a daemon's link to its parent at intervals and tells the daemon when it opens or closes. */
+  #checkLink(daemon: SimulatedDaemon, life: number, address: string | null, wasOpen: boolean): void {
+    if (address === null || daemon.parentAddress !== address || daemon.life !== life) {
       return;
     }
     if (!daemon.alive) {
-      this.#leave(daemon, address);
+      this.#closeLink(daemon, address);
       return;
     }
     const listens =
@@ -394,21 +400,21 @@
     if (!listens) {
       this.#deliver(daemon, life, { kind: 'parentLinkClosed', address, refused: !wasOpen });
     } else if (!wasOpen) {
-      this.clock.after(LINK_DELAY, () => this.#deliver(daemon, life, { kind: 'parentLinkOpened' }));
+      this.clock.schedule(LINK_DELAY, () => this.#deliver(daemon, life, { kind: 'parentLinkOpened' }));
     }
-    this.clock.after(LINK_RETRY, () => this.#watchLink(daemon, life, address, listens));
+    this.clock.schedule(LINK_RETRY, () => this.#checkLink(daemon, life, address, listens));
   }
 
-  #pass(from: Daemon, to: Daemon, link: number, message: PeerMessage): void {
+  #sendMessage(from: SimulatedDaemon, to: SimulatedDaemon, link: number, message: PeerMessage): void {
     const { life } = to;
     const isOpen = from.peersReachable && to.peersReachable;
     if (isOpen) {
-      this.clock.after(LINK_DELAY, () => this.#deliver(to, life, { kind: 'peerMessage', link, message }));
+      this.clock.schedule(LINK_DELAY, () => this.#deliver(to, life, { kind: 'peerMessage', link, message }));
     }
   }
 
-  /** Watched keys that no server would serve now. */
+  /** Returns the checked keys that no server would serve now. */
   unservedKeys(): number[] {
-    return WATCHED_KEYS.filter((key) => !this.servers.some((server) => server.holds(key)));
+    return CHECKED_KEYS.filter((key) => !this.servers.some((server) => server.holds(key)));
   }
 }
--- a/test/router/support/model-server.ts
+++ b/test/router/support/simulated-server.ts
@@ -1,29 +1,29 @@
-/** Servers that hold keys by grants, as a model in virtual time, and the checker for at most one owner. */
+/** Simulated servers that hold keys by grants, and a checker that each key has at most one owner. */
 import type { SeededRandom } from '../../../src/core/random.js';
 import type { ControlOutcome } from '../../../src/router/events.js';
-import { instanceOf } from '../../../src/router/model/server-life.js';
+import { instanceOf } from '../../../src/router/model/server-incarnation.js';
 import type { ControlEffect } from '../../../src/router/effects.js';
 import type { VirtualClock } from './virtual-clock.js';
 
-/** The keys that are looked at; units may be cut anywhere. */
-export const WATCHED_KEYS: readonly number[] = Array.from({ length: 128 }, (_, index) => index * 512 + 7);
+/** The keys that the checker examines: a sample of all keys, since units may begin and end at any key. */
+export const CHECKED_KEYS: readonly number[] = Array.from({ length: 128 }, (_, index) => index * 512 + 7);
 
 interface Holding {
   readonly fence: number;
   readonly until: number;
 }
 
-/** Looks at every grant that a server takes. */
+/** Checks every grant that a server accepts against the holdings and fences of the other servers. */
 export class OwnerChecker {
   readonly violations: string[] = [];
-  readonly #servers: ModelServer[] = [];
+  readonly #servers: SimulatedServer[] = [];
   readonly #highest = new Map<number, { server: string; fence: number }>();
 
-  add(server: ModelServer): void {
+  add(server: SimulatedServer): void {
     this.#servers.push(server);
   }
 
-  taken(server: ModelServer, key: number, fence: number, now: number): void {
+  checkGrant(server: SimulatedServer, key: number, fence: number, now: number): void {
     for (const other of this.#servers) {
       const holding = other === server || !other.alive ? undefined : other.holdings.get(key);
       if (holding !== undefined && holding.until > now) {
@@ -44,20 +44,20 @@
   }
 }
 
-export class ModelServer {
+export class SimulatedServer {
   alive = true;
-  /** Its process has ended and its machine is there: connections are refused. */
-  refuses = false;
-  /** It refuses calls that are for a server of another name. */
-  checksName = true;
-  /** Daemons reach it. */
+  /** Whether connections are refused: the process has ended and its machine is still running. */
+  refusesConnections = false;
+  /** Whether the server rejects calls that are meant for a server of another name. */
+  checksInstanceName = true;
+  /** Whether daemons can reach the server. */
   reachable = true;
-  /** Requests a second that it names as its limit in each answer; null: it names none. */
+  /** Rate limit in requests a second that the server states in each response; null: none. */
   limit: number | null = null;
   readonly holdings = new Map<number, Holding>();
-  /** Grants that it refused since it had seen a higher fence. */
+  /** Grants that the server rejected because it had seen a higher fence. */
   readonly refused: ControlEffect[] = [];
-  readonly #seen = new Map<number, number>();
+  readonly #highestFences = new Map<number, number>();
 
   constructor(
     readonly id: string,
@@ -68,73 +68,73 @@
     checker.add(this);
   }
 
-  /** Whether it would run a request for a key now. */
+  /** Returns whether the server would execute a request for a key now. */
   holds(key: number): boolean {
     const holding = this.holdings.get(key);
     return this.alive && holding !== undefined && holding.until > this.clock.now;
   }
 
-  take(effect: ControlEffect): ControlOutcome {
-    const keys = WATCHED_KEYS.filter((key) => key >= effect.from && key <= effect.to);
+  handleCall(effect: ControlEffect): ControlOutcome {
+    const keys = CHECKED_KEYS.filter((key) => key >= effect.from && key <= effect.to);
     if (effect.action === 'probe') {
       return { kind: 'accepted', handover: null };
     }
     if (effect.action === 'release') {
       for (const key of keys) {
         this.holdings.delete(key);
-        this.#seen.set(key, Math.max(this.#seen.get(key) ?? 0, effect.fence));
+        this.#highestFences.set(key, Math.max(this.#highestFences.get(key) ?? 0, effect.fence));
       }
       return { kind: 'accepted', handover: 'h' };
     }
-    if (keys.some((key) => (this.#seen.get(key) ?? 0) > effect.fence)) {
+    if (keys.some((key) => (this.#highestFences.get(key) ?? 0) > effect.fence)) {
       this.refused.push(effect);
       return { kind: 'higherFence' };
     }
     for (const key of keys) {
-      this.#seen.set(key, effect.fence);
-      this.checker.taken(this, key, effect.fence, this.clock.now);
+      this.#highestFences.set(key, effect.fence);
+      this.checker.checkGrant(this, key, effect.fence, this.clock.now);
       this.holdings.set(key, { fence: effect.fence, until: this.clock.now + effect.hold * 1.02 });
     }
     return { kind: 'accepted', handover: null };
   }
 }
 
-/** How calls to servers go wrong. */
-export interface CallTroubles {
-  /** Share of calls that get no answer and are carried out 2 to 12 s later. */
-  lateShare: number;
+/** Faults of calls to servers. */
+export interface CallFaults {
+  /** Share of calls that get no response and are executed 2 to 12 s later. */
+  lateCallShare: number;
 }
 
-/** Carries a call to a server and its answer back. */
-export function carryCall(
+/** Delivers a call to a server and the response to the daemon. */
+export function simulateCall(
   clock: VirtualClock,
   random: SeededRandom,
-  server: ModelServer | undefined,
+  server: SimulatedServer | undefined,
   effect: ControlEffect,
-  troubles: CallTroubles,
+  faults: CallFaults,
   answer: (outcome: ControlOutcome) => void,
 ): void {
   const unanswered: ControlOutcome = { kind: 'unanswered', reason: 'no answer' };
   if (server === undefined || !server.alive || !server.reachable) {
-    const refused = server?.refuses === true;
-    const delay = refused ? 1 : effect.patience;
-    clock.after(delay, () => answer({ kind: 'notSent', reason: 'no connection', refused }));
+    const refused = server?.refusesConnections === true;
+    const delay = refused ? 1 : effect.timeout;
+    clock.schedule(delay, () => answer({ kind: 'notSent', reason: 'no connection', refused }));
     return;
   }
   const isNamed = instanceOf(server.id) === instanceOf(effect.server);
-  if (!isNamed && server.checksName) {
-    clock.after(1, () => answer({ kind: 'otherInstance' }));
+  if (!isNamed && server.checksInstanceName) {
+    clock.schedule(1, () => answer({ kind: 'otherInstance' }));
     return;
   }
-  const carryOut = (): ControlOutcome => (server.alive ? server.take(effect) : unanswered);
-  if (effect.action !== 'probe' && random.fraction() < troubles.lateShare) {
-    clock.after(2_000 + random.fraction() * 10_000, carryOut);
-    clock.after(effect.patience, () => answer(unanswered));
+  const execute = (): ControlOutcome => (server.alive ? server.handleCall(effect) : unanswered);
+  if (effect.action !== 'probe' && random.fraction() < faults.lateCallShare) {
+    clock.schedule(2_000 + random.fraction() * 10_000, execute);
+    clock.schedule(effect.timeout, () => answer(unanswered));
     return;
   }
-  clock.after(0.5 + random.fraction() * 2, () => {
-    const outcome = carryOut();
+  clock.schedule(0.5 + random.fraction() * 2, () => {
+    const outcome = execute();
     const work = effect.action === 'release' ? random.fraction() * 120 : 0;
-    clock.after(1 + work, () => answer(server.alive && server.reachable ? outcome : unanswered));
+    clock.schedule(1 + work, () => answer(server.alive && server.reachable ? outcome : unanswered));
   });
 }
--- a/test/router/support/world-configuration.ts
+++ b/test/router/support/simulation-configuration.ts
@@ -1,7 +1,7 @@
-/** The configuration of a world of router daemons: one keyed service. */
+/** The configuration of simulated router daemons: one keyed service. */
 import type { Configuration } from '../../../src/router/model/configuration.js';
 
-export const SERVICE = 'racks';
+export const KEYED_SERVICE = 'racks';
 
 export const CONFIGURATION: Configuration = {
   version: 1,
@@ -15,14 +15,14 @@
       latencyObjective: 200,
       priority: 1,
       maxAttempts: 2,
-      targets: [{ service: SERVICE, weight: 1 }],
+      targets: [{ service: KEYED_SERVICE, weight: 1 }],
     },
   ],
   services: new Map([
     [
-      SERVICE,
+      KEYED_SERVICE,
       {
-        name: SERVICE,
+        name: KEYED_SERVICE,
         keyed: true,
         connectionLimit: 100,
         healthPath: '/health',
--- a/test/router/support/single-daemon.ts
+++ b/test/router/support/single-daemon.ts
@@ -1,4 +1,4 @@
-/** One daemon with a configuration and three servers, driven event by event. */
+/** One daemon with a configuration and three servers, to which tests deliver single events. */
 import type { Effect } from '../../../src/router/effects.js';
 import type { AttemptResult, RouterEvent } from '../../../src/router/events.js';
 import type { Configuration } from '../../../src/router/model/configuration.js';
@@ -10,7 +10,7 @@
 import { BOUNDS_WITH_RETRIES } from './bounds.js';
 import { fingerprintOf } from './fingerprints.js';
 
-/** Two routes to a balanced service, one to a keyed one. */
+/** Two routes to a balanced service and one to a keyed service. */
 export const CONFIGURATION: Configuration = {
   version: 1,
   routes: [
@@ -75,8 +75,8 @@
   limits: { headerBytes: 1_000, bodyBytes: 1_000, headerTimeout: 1_000, idleTimeout: 1_000 },
 };
 
-/** A server of the balanced service. */
-export function server(id: string): ServerDescription {
+/** Describes a server of the balanced service. */
+export function describeServer(id: string): ServerDescription {
   const address = `10.0.0.${id.slice(1)}:80`;
   return {
     id,
@@ -91,7 +91,7 @@
   };
 }
 
-/** Time passes in ticks of this length, in milliseconds. */
+/** Interval of tick events in milliseconds. */
 const TICK = 20;
 
 export class SingleDaemon {
@@ -103,7 +103,11 @@
     const identity = { daemon: 'd', zone: 'z', peerAddress: '10.0.0.9:1', life: 1 };
     this.state = createRouterState(identity, BOUNDS_WITH_RETRIES, 1);
     this.event({ kind: 'configuration', configuration: CONFIGURATION, revision: 1 });
-    this.event({ kind: 'serversListed', servers: [server('s1'), server('s2'), server('s3')], revision: 5 });
+    this.event({
+      kind: 'serversListed',
+      servers: [describeServer('s1'), describeServer('s2'), describeServer('s3')],
+      revision: 5,
+    });
     this.effects = [];
   }
 
@@ -111,13 +115,13 @@
     this.effects.push(...reduce(this.state, this.now, input));
   }
 
-  ticksUntil(end: number): void {
+  tickUntil(end: number): void {
     for (; this.now < end; this.now += TICK) {
       this.event({ kind: 'tick' });
     }
   }
 
-  arrive(
+  receiveRequest(
     requestId: number,
     target: string,
     callerPatience: number | null = 900,
@@ -138,15 +142,15 @@
     this.event({ kind: 'attemptEnded', requestId, attempt, result });
   }
 
-  /** A server owns every key of the keyed service. */
+  /** Makes a server the owner of every key of the keyed service. */
   own(owner: string): void {
     const unit = { service: 'racks', from: 0, to: LAST_KEY, owner, fence: 3, granted: true, releasing: null };
-    this.state.view = new OwnershipView(1, 1, [unit]);
-    const changes = [{ id: owner, server: { ...server(owner), service: 'racks' } }];
+    this.state.ownershipView = new OwnershipView(1, 1, [unit]);
+    const changes = [{ id: owner, server: { ...describeServer(owner), service: 'racks' } }];
     this.event({ kind: 'serversChanged', changes, revision: 6 });
   }
 
-  only<Kind extends Effect['kind']>(kind: Kind): Extract<Effect, { kind: Kind }>[] {
+  effectsOfKind<Kind extends Effect['kind']>(kind: Kind): Extract<Effect, { kind: Kind }>[] {
     return this.effects.filter((effect): effect is Extract<Effect, { kind: Kind }> => effect.kind === kind);
   }
 }
--- a/test/router/test-feed-lag.ts
+++ b/test/router/test-feed-lag.ts
@@ -7,7 +7,11 @@
 
 let state: RouterState;
 
-function heartbeat(now: number, configurationVersion: number, serversRevision: number): Effect[] {
+function refreshesAfterHeartbeat(
+  now: number,
+  configurationVersion: number,
+  serversRevision: number,
+): Effect[] {
   const message = {
     term: 1,
     confirmationAge: 10,
@@ -27,23 +31,23 @@
   return reduce(state, now, event).filter((effect) => effect.kind === 'refreshFeed');
 }
 
-describe('a daemon that knows less than others', () => {
+describe('a daemon whose feeds are behind those of other daemons', () => {
   beforeEach(() => {
     state = createRouterState({ daemon: 'd', zone: 'z', peerAddress: '10.0.0.9:1', life: 1 }, BOUNDS, 1);
   });
 
-  // Found by a played day: every change of a server made half of the daemons list everything anew.
-  it('waits for its own watch before it reads anew', () => {
-    expect(heartbeat(1_000, 1, 7)).toEqual([]);
+  // Without the wait, each change of a server makes daemons whose watch is a little later list all servers again.
+  it('waits for its own watch before it lists the feed again', () => {
+    expect(refreshesAfterHeartbeat(1_000, 1, 7)).toEqual([]);
     state.newestServerRevision = 7;
-    expect(heartbeat(1_300, 0, 7)).toEqual([]);
-    expect(state.feedLags.servers.since).toEqual(null);
+    expect(refreshesAfterHeartbeat(1_300, 0, 7)).toEqual([]);
+    expect(state.feedLags.servers.behindSince).toEqual(null);
   });
 
-  it('reads only the feed that is behind, and once for each news', () => {
-    heartbeat(1_000, 0, 7);
-    expect(heartbeat(1_700, 0, 7)).toEqual([{ kind: 'refreshFeed', feed: 'servers' }]);
-    expect(heartbeat(2_500, 0, 7)).toEqual([]);
-    expect(heartbeat(2_600, 0, 8)).toEqual([{ kind: 'refreshFeed', feed: 'servers' }]);
+  it('lists only the feed that is behind again, and once for each newer revision', () => {
+    refreshesAfterHeartbeat(1_000, 0, 7);
+    expect(refreshesAfterHeartbeat(1_700, 0, 7)).toEqual([{ kind: 'refreshFeed', feed: 'servers' }]);
+    expect(refreshesAfterHeartbeat(2_500, 0, 7)).toEqual([]);
+    expect(refreshesAfterHeartbeat(2_600, 0, 8)).toEqual([{ kind: 'refreshFeed', feed: 'servers' }]);
   });
 });
--- a/test/router/tree/test-tree-world.ts
+++ b/test/router/tree/test-tree-world.ts
@@ -1,16 +1,16 @@
 import { expect } from 'earl';
 import { describe, it } from 'node:test';
-import { RouterWorld, type Daemon } from '../support/router-world.js';
+import { RouterSimulation, type SimulatedDaemon } from '../support/router-simulation.js';
 
 const DAEMONS = 60;
 
-function createSettledWorld(seed: number): RouterWorld {
-  const world = new RouterWorld(seed, DAEMONS, 8);
+function createSettledWorld(seed: number): RouterSimulation {
+  const world = new RouterSimulation(seed, DAEMONS, 8);
   world.clock.runUntil(8_000);
   return world;
 }
 
-function leaderOf(world: RouterWorld): Daemon {
+function leaderOf(world: RouterSimulation): SimulatedDaemon {
   const leader = world.leader();
   if (leader === undefined) {
     throw new Error('no daemon is the leader');
@@ -19,7 +19,7 @@
 }
 
 /** Returns the running daemons that have no recent heartbeat of the leader or differ from it in servers, configuration or term. */
-function daemonsBehind(world: RouterWorld): string[] {
+function daemonsBehind(world: RouterSimulation): string[] {
   const leader = leaderOf(world);
   return world.daemons
     .filter(({ alive, state }) => {
@@ -27,13 +27,13 @@
       const isUpToDate =
         state.servers.size === leader.state.servers.size &&
         state.configuration?.version === leader.state.configuration?.version &&
-        state.view.term === leader.state.view.term;
+        state.ownershipView.term === leader.state.ownershipView.term;
       return alive && !(hasHeartbeat && isUpToDate);
     })
     .map(({ name }) => name);
 }
 
-function relaysOf(world: RouterWorld): Daemon[] {
+function relaysOf(world: RouterSimulation): SimulatedDaemon[] {
   const leader = leaderOf(world);
   return world.daemons.filter((daemon) => daemon !== leader && daemon.state.tree.children.size > 0);
 }
@@ -51,7 +51,7 @@
     const world = createSettledWorld(2);
     const followers = world.daemons.filter(({ state }) => state.followsStore);
     expect(followers.length).toEqual(3);
-    expect(world.serverEntries.lists <= 6).toEqual(true);
+    expect(world.serverEntries.listCalls <= 6).toEqual(true);
   });
 
   it('propagates to all daemons within half a second that a server is draining', () => {
@@ -76,12 +76,12 @@
   it('keeps the subtrees of relays together when the leader is lost, with few reads of the store', () => {
     const world = createSettledWorld(5);
     const former = leaderOf(world);
-    const readsBefore = world.store.reads;
+    const readsBefore = world.store.readCount;
     former.alive = false;
     world.clock.runUntil(world.clock.now + 5_000);
     expect(leaderOf(world) === former).toEqual(false);
     expect(daemonsBehind(world)).toEqual([]);
-    expect(world.store.reads - readsBefore < 4 * DAEMONS).toEqual(true);
+    expect(world.store.readCount - readsBefore < 4 * DAEMONS).toEqual(true);
     expect(world.checker.violations).toEqual([]);
   });
 
--- a/test/wire/test-peer-codec.ts
+++ b/test/wire/test-peer-codec.ts
@@ -4,7 +4,7 @@
 import { decodePeerMessage, encodePeerMessage } from '../../src/router-runtime/peer-codec.js';
 import type { PeerMessage } from '../../src/router/peers/messages.js';
 import { router } from '../../src/wire/generated/router.js';
-import { CONFIGURATION } from '../router/support/router-world.js';
+import { CONFIGURATION } from '../router/support/router-simulation.js';
 
 const LARGE = {
   ...CONFIGURATION,
