--- a/src/errors.ts
+++ b/src/errors.ts
@@ -1,37 +1,37 @@
 /**
- * The error hierarchy. Each error carries the step at which it arose and the peer it arose with.
+ * The error hierarchy. Each error names the operation that failed and the peer involved.
  */
 
-/** Base of all errors of this project. */
+/** Base class of all errors of this project. */
 export class FennelferryError extends Error {
-  /** What was being done. */
+  /** The operation that failed. */
   readonly step: string;
-  /** With whom: an address, a server's name, or a file. */
+  /** The other party or the source: an address, a server's name or a file. */
   readonly peer: string;
 
-  constructor(step: string, peer: string, detail: string) {
-    super(`${step} (${peer}): ${detail}`);
+  constructor(operation: string, peer: string, detail: string) {
+    super(`${operation} (${peer}): ${detail}`);
     this.name = new.target.name;
-    this.step = step;
+    this.step = operation;
     this.peer = peer;
   }
 }
 
-/** Bytes between daemons that cannot be read. */
+/** A malformed message between daemons. */
 export class WireError extends FennelferryError {}
-/** The platform's store refused, failed or did not answer. */
+/** The platform's store rejected a call, failed or did not respond. */
 export class StoreError extends FennelferryError {}
-/** A settings file or a routing configuration that does not fit its schema. */
+/** A settings file or a routing configuration that violates its schema. */
 export class SettingsError extends FennelferryError {
-  /** One line a fault: path, what was found, what is allowed. */
+  /** One line for each violation: path, value found, allowed values. */
   readonly faults: readonly string[];
 
-  constructor(step: string, peer: string, faults: readonly string[]) {
-    super(step, peer, faults.join('\n'));
+  constructor(operation: string, peer: string, faults: readonly string[]) {
+    super(operation, peer, faults.join('\n'));
     this.faults = faults;
   }
 }
-/** A statement of the query and command language that cannot be read. */
+/** A statement of the query and command language that cannot be parsed. */
 export class StatementError extends FennelferryError {}
-/** The admin API of a daemon refused or did not answer. */
+/** The admin API of a daemon rejected a call or did not respond. */
 export class AdminError extends FennelferryError {}
--- a/src/http-client/index.ts
+++ b/src/http-client/index.ts
@@ -1,6 +1,6 @@
 /**
- * The HTTP client: those modules of the `undici` library that a router needs. Its index loads fetch, cookies,
- * caches and web sockets as well, which is a fourth of a router's whole start (docs/design/platform.md).
+ * The HTTP client: the modules of the `undici` library that a router needs. The index of the library also loads fetch, cookies,
+ * caches and web sockets, which takes a quarter of the start-up time of a router (docs/design/platform.md).
  */
 import request from 'undici/lib/api/api-request.js';
 import Agent from 'undici/lib/dispatcher/agent.js';
@@ -8,7 +8,7 @@
 import Dispatcher from 'undici/lib/dispatcher/dispatcher.js';
 import Pool from 'undici/lib/dispatcher/pool.js';
 
-// The index puts the calls that share a dispatcher onto it; this one is used here.
+// The index of the library adds the API methods to the dispatcher. Only `request` is needed here.
 Object.assign(Dispatcher.prototype, { request });
 
 export { Agent, Client, Dispatcher, Pool };
--- a/src/http-client/renewable-pool.ts
+++ b/src/http-client/renewable-pool.ts
@@ -1,15 +1,16 @@
 /**
- * Connections to one origin, that are all replaced when a call on them stays without an answer. Connections may go silent without
- * a reset, and then all that were open at that moment do: each of those left would cost one more call its time-out.
+ * A connection pool for one origin that replaces all its connections when a call times out. A network failure can make connections
+ * unresponsive without a reset, and affects every connection that is open at that moment: each one that stayed in the pool would
+ * make another call time out.
  */
 import { PROCESS_BARRIER } from '../event-loop/poll-barrier.js';
 import type { Dispatcher, Pool as UndiciPool } from 'undici';
 import Pool from 'undici/lib/dispatcher/pool.js';
 
-/** What a call says, without where it goes and until when. */
+/** A request without its origin and its abort signal. */
 export type PoolRequest = Omit<Dispatcher.RequestOptions, 'origin' | 'signal'>;
 
-/** Knows which calls have begun to be written. */
+/** Tracks which requests have been at least partly written to a connection. */
 class TrackingPool extends Pool {
   readonly #written = new WeakSet<Dispatcher.DispatchOptions>();
 
@@ -28,26 +29,26 @@
 }
 
 /**
- * Aborts a call when its time is over: at once if it has not been written, since it must not be any more; else once the sockets have been read,
- * since an answer that came in time may lie there.
+ * Aborts a call at its timeout. A request that has not been written is aborted at once, since it must not be sent any more.
+ * Otherwise the abort waits until the sockets have been polled, since a response that arrived in time may still be unread.
  */
 class PatienceSignal {
   readonly #controller = new AbortController();
   readonly #timer: NodeJS.Timeout;
 
   /**
-   * @param patience in milliseconds
-   * @param isWritten whether the call has begun to be written
+   * @param timeout in milliseconds
+   * @param isWritten whether the request has been at least partly written
    */
-  constructor(patience: number, isWritten: () => boolean) {
-    const abort = (): void => this.#abort(patience);
+  constructor(timeout: number, isWritten: () => boolean) {
+    const abort = (): void => this.#abort(timeout);
     this.#timer = setTimeout(() => {
       if (isWritten()) {
         PROCESS_BARRIER.afterPoll(abort);
       } else {
         abort();
       }
-    }, patience);
+    }, timeout);
     this.#timer.unref();
   }
 
@@ -55,13 +56,13 @@
     return this.#controller.signal;
   }
 
-  /** The call has ended. */
+  /** Cancels the timeout, as the call has ended. */
   clear(): void {
     clearTimeout(this.#timer);
   }
 
-  #abort(patience: number): void {
-    this.#controller.abort(new DOMException(`no answer within ${patience} ms`, 'TimeoutError'));
+  #abort(timeout: number): void {
+    this.#controller.abort(new DOMException(`no answer within ${timeout} ms`, 'TimeoutError'));
   }
 }
 
@@ -69,7 +70,7 @@
   readonly #origin: string;
   readonly #options: UndiciPool.Options;
   #pool: TrackingPool;
-  /** Replaced ones, until their last call has ended. */
+  /** Replaced pools whose last calls have not ended yet. */
   readonly #retired = new Set<TrackingPool>();
 
   constructor(origin: string, options: UndiciPool.Options) {
@@ -79,30 +80,30 @@
   }
 
   /**
-   * Makes a call. Rejects when there is no whole answer within the patience (milliseconds), or when the signal ends the call; only the
-   * first says something about the connections.
+   * Makes a call. Rejects if there is no complete response within the timeout (milliseconds), or if `cancelSignal` aborts the
+   * call. Only a timeout replaces the connections, since a cancelled call does not show that they have failed.
    */
   async request(
     request: PoolRequest,
-    patience: number,
-    ended?: AbortSignal,
+    timeout: number,
+    cancelSignal?: AbortSignal,
   ): Promise<{ answer: Dispatcher.ResponseData; text: string }> {
     const pool = this.#pool;
-    const timeout: PatienceSignal = new PatienceSignal(patience, () => pool.isWritten(call));
-    const signal = ended === undefined ? timeout.signal : AbortSignal.any([timeout.signal, ended]);
+    const timeoutSignal: PatienceSignal = new PatienceSignal(timeout, () => pool.isWritten(call));
+    const signal = cancelSignal === undefined ? timeoutSignal.signal : AbortSignal.any([timeoutSignal.signal, cancelSignal]);
     const call: Dispatcher.RequestOptions = { ...request, signal };
     try {
       const answer = await pool.request(call);
       return { answer, text: await answer.body.text() };
     } finally {
-      timeout.clear();
-      if (timeout.signal.aborted && ended?.aborted !== true) {
+      timeoutSignal.clear();
+      if (timeoutSignal.signal.aborted && cancelSignal?.aborted !== true) {
         this.#retire(pool);
       }
     }
   }
 
-  /** Ends every call. */
+  /** Closes all connections, which fails the calls that are in progress. */
   destroy(): void {
     void this.#pool.destroy();
     this.#retired.forEach((pool) => void pool.destroy());
--- a/src/http-client/resetting-connector.ts
+++ b/src/http-client/resetting-connector.ts
@@ -1,18 +1,18 @@
 /**
- * Connections that are reset when they are given up. A socket that is merely closed leaves what was written to
- * the kernel, which goes on sending it: a call that timed out behind a partition would arrive when the
- * partition heals, seconds after it was counted as lost.
+ * Connections that are reset when they are destroyed. If a socket is merely closed, the kernel goes on sending the data that was
+ * written to it: a call that timed out during a network partition would arrive when the partition heals, seconds after it was
+ * counted as lost.
  */
 import type { Socket } from 'node:net';
 import type { buildConnector as BuildConnector } from 'undici';
 import buildConnector from 'undici/lib/core/connect.js';
 
-/** Whether the connection itself has failed, so that there is nothing left to reset. */
+/** Whether an error comes from the connection itself, which has then failed and needs no reset. */
 function isSystemError(error: Error | undefined): boolean {
   return error !== undefined && 'syscall' in error;
 }
 
-/** Makes a socket send a reset when it is destroyed; what it has not delivered yet is dropped. */
+/** Makes a socket send a reset when it is destroyed, which discards data that has not been delivered. */
 function resetOnDestroy(socket: Socket): void {
   const destroy = socket.destroy.bind(socket);
   let resetting = false;
@@ -22,7 +22,7 @@
     if (!resetting && !socket.destroyed && !isSystemError(error)) {
       resetting = true;
       cause = error;
-      // Calls this function again, without the cause.
+      // `resetAndDestroy` calls this function again, without the error.
       socket.resetAndDestroy();
     }
     return destroy(error ?? cause);
@@ -30,7 +30,7 @@
 }
 
 /**
- * A connector for a client of this library, with the options of `buildConnector`.
+ * Returns a connector for an undici client that resets destroyed connections. Takes the options of undici's `buildConnector`.
  *
  * @example
  * new Pool(origin, { connect: buildResettingConnector({ timeout: 500 }) });
--- a/src/http-client/undici-modules.d.ts
+++ b/src/http-client/undici-modules.d.ts
@@ -1,4 +1,4 @@
-/** Types of undici's single modules: those that its index exports under the same names. */
+/** Types of undici's individual modules, taken from the exports of its index. */
 declare module 'undici/lib/dispatcher/agent.js' {
   export { Agent as default } from 'undici';
 }
--- a/src/main.ts
+++ b/src/main.ts
@@ -1,6 +1,6 @@
 #!/usr/bin/env node
 /**
- * The command line.
+ * Entry point of the command-line interface.
  */
 import { Builtins, Cli } from 'clipanion';
 import { CheckRouterSettingsCommand } from './command-line/check-router-settings-command.js';
--- a/src/settings/address.ts
+++ b/src/settings/address.ts
@@ -8,7 +8,7 @@
   readonly port: number;
 }
 
-/** Splits an address at its last colon. Brackets around an IPv6 number are taken off. */
+/** Splits an address at its last colon. Brackets around an IPv6 address are removed. */
 export function splitAddress(address: string): HostAndPort {
   const colon = address.lastIndexOf(':');
   const host = address.slice(0, colon).replace(/^\[|\]$/g, '');
--- a/src/settings/daemon-settings.ts
+++ b/src/settings/daemon-settings.ts
@@ -1,5 +1,5 @@
 /**
- * The settings of a daemon: a YAML file, overridden by flags, checked by a schema before anything starts.
+ * The settings of a daemon: a YAML file whose values command-line flags may override. They are validated before the daemon starts.
  */
 import { err, ok, type Result } from 'neverthrow';
 import { readFileSync } from 'node:fs';
@@ -18,11 +18,11 @@
   );
 
 const limitsSchema = z.strictObject({
-  /** Larger request heads get 431. */
+  /** Requests with a larger head are rejected with status 431. */
   headerBytes: z.number().int().min(1_024).max(1_048_576).default(16_384),
-  /** Larger request bodies get 413. */
+  /** Requests with a larger body are rejected with status 413. */
   bodyBytes: z.number().int().min(0).max(10_737_418_240).default(1_073_741_824),
-  /** A planned stop waits this long for requests in flight. */
+  /** How long a planned stop waits for requests in flight. */
   drainMilliseconds: z.number().int().min(0).max(600_000).default(10_000),
 });
 
@@ -31,16 +31,16 @@
   zone: NAME,
   side: NAME,
   listen: z.strictObject({ http: ADDRESS, admin: ADDRESS, internal: ADDRESS }),
-  /** Internal addresses of daemons to join through. */
+  /** Internal addresses of the daemons through which this one joins the cluster. */
   seeds: z.array(ADDRESS).default([]),
   store: z.string().regex(/^https?:\/\/[^/]+$/, 'allowed: http://<ip number>:<port>'),
   limits: limitsSchema.default(() => limitsSchema.parse({})),
 });
 
-/** Checked settings. */
+/** Settings that have passed the schema. */
 export type DaemonSettings = z.infer<typeof settingsSchema>;
 
-/** Flags that override the file; undefined leaves the file's value. */
+/** Values of flags that override the settings file. Undefined keeps the value of the file. */
 export interface SettingsOverrides {
   readonly id?: string | undefined;
   readonly zone?: string | undefined;
@@ -53,16 +53,16 @@
 
 function withOverrides(value: unknown, overrides: SettingsOverrides): unknown {
   const base = (typeof value === 'object' && value !== null ? value : {}) as Record<string, unknown>;
-  const { http, admin, internal, ...top } = overrides;
-  const given = (part: object): object =>
-    Object.fromEntries(Object.entries(part).filter(([, entry]) => entry !== undefined));
-  const ports = given({ http, admin, internal });
+  const { http, admin, internal, ...otherOverrides } = overrides;
+  const withoutUndefined = (fields: object): object =>
+    Object.fromEntries(Object.entries(fields).filter(([, entry]) => entry !== undefined));
+  const listenOverrides = withoutUndefined({ http, admin, internal });
   const listen =
-    Object.keys(ports).length === 0 ? base['listen'] : { ...(base['listen'] as object), ...ports };
-  return { ...base, ...given(top), ...(listen === undefined ? {} : { listen }) };
+    Object.keys(listenOverrides).length === 0 ? base['listen'] : { ...(base['listen'] as object), ...listenOverrides };
+  return { ...base, ...withoutUndefined(otherOverrides), ...(listen === undefined ? {} : { listen }) };
 }
 
-/** Checks settings that were read. The error lists every fault at once. */
+/** Validates parsed settings. The error lists all violations of the schema at once. */
 export function checkSettings(
   value: unknown,
   source: string,
@@ -75,7 +75,7 @@
     : err(new SettingsError('check settings', source, describeFaults(parsed.error, merged)));
 }
 
-/** Reads and checks a settings file. */
+/** Reads and validates a settings file. */
 export function readSettings(
   path: string,
   overrides: SettingsOverrides = {},
--- a/src/wire/codec.ts
+++ b/src/wire/codec.ts
@@ -1,5 +1,5 @@
 /**
- * Turns envelopes into bytes and back, by the generated protobuf codec.
+ * Encodes and decodes envelopes with the generated protobuf codec.
  */
 import { err, ok, type Result } from 'neverthrow';
 import type { Envelope, PeerMessage } from '../core/messages.js';
@@ -7,20 +7,20 @@
 import protobuf from 'protobufjs/minimal.js';
 import { fennelferry } from './generated/messages.js';
 
-// Without the Long type the library reads 64-bit numbers as plain ones, exact up to 2^53, which is all we use.
+// Without the Long type, protobufjs decodes 64-bit integers as plain numbers, which are exact up to 2^53. No field exceeds that.
 (protobuf.util as { Long: unknown }).Long = undefined;
 protobuf.configure();
 
 const TO_OBJECT = { defaults: true, arrays: true, oneofs: true } as const;
 
-/** The bytes of an envelope. */
+/** Encodes an envelope. */
 export function encodeEnvelope(envelope: Envelope): Uint8Array {
   const { sender, senderIncarnation, recipientIncarnation, message } = envelope;
-  const plain = { sender, senderIncarnation, recipientIncarnation, [message.kind]: message };
-  return fennelferry.Envelope.encode(plain as fennelferry.IEnvelope).finish();
+  const fields = { sender, senderIncarnation, recipientIncarnation, [message.kind]: message };
+  return fennelferry.Envelope.encode(fields as fennelferry.IEnvelope).finish();
 }
 
-/** The envelope in some bytes, or an error that names the peer the bytes came from. */
+/** Decodes an envelope. The error names the peer that sent the bytes. */
 export function decodeEnvelope(bytes: Uint8Array, peer: string): Result<Envelope, WireError> {
   try {
     const decoded = fennelferry.Envelope.decode(bytes);
--- a/src/wire/control-codec.ts
+++ b/src/wire/control-codec.ts
@@ -1,6 +1,6 @@
 /**
- * Control calls to servers and their answers as JSON. What is empty is left out: most calls renew a lease
- * and do nothing else, and they make up much of what control costs.
+ * Encodes control requests to servers and their replies as JSON. Empty fields are omitted to keep the messages small: most
+ * requests only renew a lease, and these account for much of the cost of control traffic.
  */
 import * as z from 'zod';
 import type { ControlReply, ControlRequest } from '../core/server-control.js';
@@ -40,31 +40,31 @@
   return value === null || value === false || (Array.isArray(value) && value.length === 0);
 }
 
-/** The JSON of an object without those of its own fields that are empty; what is inside them stays whole. */
+/** Encodes an object as JSON without its empty fields. Nested objects are encoded in full. */
 function stringifyCompact(fields: object): string {
   return JSON.stringify(Object.fromEntries(Object.entries(fields).filter(([, value]) => !isEmpty(value))));
 }
 
-/** The JSON of a call. */
+/** Encodes a control request. */
 export function encodeControlRequest(request: ControlRequest): string {
   return stringifyCompact(request);
 }
 
-/** Reads a call. Throws on what is none. */
+/** Decodes a control request. Throws if the text is malformed. */
 export function decodeControlRequest(text: string): ControlRequest {
   return requestSchema.parse(JSON.parse(text));
 }
 
-/** The JSON of an answer. The clock is cut to whole milliseconds, downwards: that can only shorten a lease. */
+/** Encodes a control reply. The clock is rounded down to whole milliseconds, which can only shorten a lease. */
 export function encodeControlReply(reply: ControlReply): string {
   const clock = Math.floor(reply.clock);
   const { inventory, ...rest } = reply;
   const text = stringifyCompact({ ...rest, clock });
-  // An empty inventory says "nothing is held", which is not the same as none asked for.
+  // An empty inventory means that the server holds no units; null means that no inventory was requested.
   return inventory === null ? text : `${text.slice(0, -1)},"inventory":${JSON.stringify(inventory)}}`;
 }
 
-/** Reads an answer. Throws on what is none. */
+/** Decodes a control reply. Throws if the text is malformed. */
 export function decodeControlReply(text: string): ControlReply {
   return replySchema.parse(JSON.parse(text));
 }
--- a/src/wire/headers.ts
+++ b/src/wire/headers.ts
@@ -1,24 +1,24 @@
 /**
- * HTTP headers of the project's own. Those towards servers are stripped from callers' requests, so that
- * no caller can forge them.
+ * The project's own HTTP headers. Headers that are sent to servers are removed from callers' requests, so that no caller can
+ * forge them.
  */
 
-/** Prefix of every header of the project. */
+/** Prefix of all headers of the project. */
 export const HEADER_PREFIX = 'fennelferry-';
-/** Towards a server: the group of the fencing token. */
+/** Request header to servers: the group of the fencing token. */
 export const GROUP_HEADER = 'fennelferry-group';
-/** Towards a server: the unit of the fencing token. */
+/** Request header to servers: the unit of the fencing token. */
 export const UNIT_HEADER = 'fennelferry-unit';
-/** Towards a server: the epoch of the fencing token. */
+/** Request header to servers: the epoch of the fencing token. */
 export const EPOCH_HEADER = 'fennelferry-epoch';
-/** Towards a server: milliseconds that are left for the request. */
+/** Request header to servers: milliseconds left until the deadline of the request. */
 export const DEADLINE_HEADER = 'fennelferry-deadline-milliseconds';
-/** From a server: the request was not run, and why. */
+/** Response header from servers: the reason why the request was not run. */
 export const REFUSAL_HEADER = 'fennelferry-refused';
-/** Towards callers: `answered`, `not-run` or `unknown`. */
+/** Response header to callers: `answered`, `not-run` or `unknown`. */
 export const OUTCOME_HEADER = 'fennelferry-outcome';
 
-/** Headers that concern one connection only (RFC 9110, section 7.6.1). */
+/** Hop-by-hop headers, which apply to a single connection and are not forwarded (RFC 9110, section 7.6.1). */
 export const HOP_BY_HOP_HEADERS: ReadonlySet<string> = new Set([
   'connection',
   'keep-alive',
