--- a/scripts/generate.mjs
+++ b/scripts/generate.mjs
@@ -1,4 +1,4 @@
-// Makes the committed codecs anew from the files under proto/. Only needed after a change of one of them.
+// Regenerates the committed codecs from the files under proto/. Only needed after one of these has changed.
 import { execFileSync } from 'node:child_process';
 import { readFileSync, writeFileSync } from 'node:fs';
 
@@ -19,7 +19,7 @@
     stdio: 'inherit',
   });
   execFileSync('npx', ['pbts', '-o', `src/wire/generated/${name}.d.ts`, output], { stdio: 'inherit' });
-  // The runtime library is CommonJS: as an ES module it has a default export only.
+  // The protobufjs runtime is a CommonJS module, so an ES module can only use its default export.
   const code = readFileSync(output, 'utf8');
   writeFileSync(
     output,
--- a/scripts/make-day.mjs
+++ b/scripts/make-day.mjs
@@ -1,10 +1,11 @@
-// Prints a day of our own for the users' bench: a few troubles drawn by a seed, most of them around ownership.
-// Use: node scripts/make-day.mjs SEED > day.toml
+// Prints a random test scenario (a `day`) for the users' test bench: a few faults and planned changes chosen by a seed, most of
+// them concerning key ownership.
+// Usage: node scripts/make-day.mjs SEED > day.toml
 import { unsafeUniformIntDistribution, xoroshiro128plus } from 'pure-rand';
 
-const DAY_SECONDS = 26;
+const LATEST_START_SECONDS = 26;
 
-/** Each trouble with the ways it may come in; lengths in seconds. */
+/** Faults with the ranges and variants to choose from. Lengths are in seconds. */
 const FAULTS = [
   {
     kind: 'srv_cut',
@@ -44,40 +45,40 @@
   { kind: 'reset_conns', share: [0.3, 1], x: [0.3, 1], how: [''] },
   { kind: 'lossy', x: [0.02, 0.06], length: [3, 6], how: [''] },
 ];
-const PLANS = [
+const PLANNED_CHANGES = [
   { kind: 'release', share: [0.2, 0.5], x: [1, 1], how: [''] },
   { kind: 'scale_in', share: [0.1, 0.2], how: ['', 'spot'] },
   { kind: 'scale_out', share: [0.15, 0.3], how: [''] },
   { kind: 'roll_term', share: [0.4, 1], x: [1, 1], how: ['', 'busy'] },
   { kind: 'config_change', how: ['route', 'weights', 'timeout'] },
 ];
-const MOST_FAULTS = 6;
-const MOST_PLANS = 2;
+const MAX_FAULTS = 6;
+const MAX_PLANNED_CHANGES = 2;
 
 const seed = Number(process.argv[2]);
 if (!Number.isInteger(seed) || seed < 1) {
-  process.stderr.write('usage: node scripts/make-day.mjs SEED, a whole number from 1\n');
+  process.stderr.write('usage: node scripts/make-day.mjs SEED (a positive integer)\n');
   process.exit(2);
 }
 const random = xoroshiro128plus(seed);
-const below = (limit) => unsafeUniformIntDistribution(0, limit - 1, random);
-const between = ([low, high]) => (low + ((high - low) * below(1_001)) / 1_000).toFixed(2);
-const pick = (list) => list[below(list.length)];
+const randomBelow = (limit) => unsafeUniformIntDistribution(0, limit - 1, random);
+const randomBetween = ([low, high]) => (low + ((high - low) * randomBelow(1_001)) / 1_000).toFixed(2);
+const pick = (list) => list[randomBelow(list.length)];
 
-function entry(trouble) {
-  const { kind, on, count, share, x, length, how } = trouble;
-  const fields = [`at = ${between([2, DAY_SECONDS])}`, `kind = "${kind}"`];
+function formatEntry(template) {
+  const { kind, on, count, share, x, length, how } = template;
+  const fields = [`at = ${randomBetween([2, LATEST_START_SECONDS])}`, `kind = "${kind}"`];
   if (on !== undefined) fields.push(`on = "${on}"`);
   if (count !== undefined) fields.push(`count = ${count}`);
-  if (share !== undefined) fields.push(`share = ${between(share)}`);
-  if (x !== undefined) fields.push(`x = ${between(x)}`);
-  if (length !== undefined) fields.push(`for_s = ${between(length)}`);
+  if (share !== undefined) fields.push(`share = ${randomBetween(share)}`);
+  if (x !== undefined) fields.push(`x = ${randomBetween(x)}`);
+  if (length !== undefined) fields.push(`for_s = ${randomBetween(length)}`);
   fields.push(`how = "${pick(how)}"`);
   return `  { ${fields.join(', ')} },`;
 }
 
-const faults = Array.from({ length: 3 + below(MOST_FAULTS - 2) }, () => entry(pick(FAULTS)));
-const plans = Array.from({ length: 1 + below(MOST_PLANS) }, () => entry(pick(PLANS)));
+const faults = Array.from({ length: 3 + randomBelow(MAX_FAULTS - 2) }, () => formatEntry(pick(FAULTS)));
+const plans = Array.from({ length: 1 + randomBelow(MAX_PLANNED_CHANGES) }, () => formatEntry(pick(PLANNED_CHANGES)));
 process.stdout.write(`# Made by scripts/make-day.mjs ${seed}.
 [[day]]
 name = "made-${seed}"
--- a/test/platform/test-documents.ts
+++ b/test/platform/test-documents.ts
@@ -28,7 +28,7 @@
   sequence: 7,
 };
 
-function configuration(service: object): ReturnType<typeof readConfiguration> {
+function parseWithService(service: object): ReturnType<typeof readConfiguration> {
   const spec = {
     version: 1,
     routes: [ROUTE],
@@ -38,50 +38,50 @@
   return readConfiguration({ metadata: { name: 'main', revision: 1, made: 1 }, spec });
 }
 
-function server(change: object): ReturnType<typeof readServer> {
+function parseEntry(overrides: object): ReturnType<typeof readServer> {
   return readServer({ metadata: { name: 'i-1', revision: 4, made: 2 }, spec: { ...ENTRY, ...change } });
 }
 
-describe("the platform's documents", () => {
-  it('tell how long servers stay cold and what they bear meanwhile', () => {
-    const service = configuration({ warmupS: 3, warmupPerS: 4.2 })?.services.get('s');
+describe('parsing of platform documents', () => {
+  it('reads the warm-up time of a service and its request rate during the warm-up', () => {
+    const service = parseWithService({ warmupS: 3, warmupPerS: 4.2 })?.services.get('s');
     expect([service?.coldTime, service?.coldRequestRate]).toEqual([3_000, 4.2]);
   });
 
-  it('set no bound for cold servers where they say nothing', () => {
-    const service = configuration({})?.services.get('s');
+  it('defaults to no warm-up and no rate limit', () => {
+    const service = parseWithService({})?.services.get('s');
     expect([service?.coldTime, service?.coldRequestRate]).toEqual([0, 0]);
   });
 
-  it('have a warm-up in seconds; a length that cannot be is taken for none, and the server is still listed', () => {
-    expect(server({ warmupLeftS: 1.5 })?.warmupLeft).toEqual(1_500);
+  it('converts the remaining warm-up from seconds and ignores an implausible one without rejecting the server', () => {
+    expect(parseEntry({ warmupLeftS: 1.5 })?.warmupLeft).toEqual(1_500);
     for (const warmupLeftS of [-1, 1e9]) {
-      expect(server({ warmupLeftS })?.warmupLeft).toEqual(0);
+      expect(parseEntry({ warmupLeftS })?.warmupLeft).toEqual(0);
     }
   });
 
-  it('tell two lives under one name apart, and one that says no birth by its name', () => {
-    expect(server({})?.id).toEqual('i-1');
-    const first = server({ born: 1_764_720_000_000 })?.id ?? '';
-    const second = server({ born: 1_764_720_000_001 })?.id ?? '';
-    expect(first === second).toEqual(false);
-    expect([first, second].map(instanceOf)).toEqual(['i-1', 'i-1']);
+  it('gives incarnations with the same name distinct ids, and uses the name as id if there is no start time', () => {
+    expect(parseEntry({})?.id).toEqual('i-1');
+    const firstId = parseEntry({ born: 1_764_720_000_000 })?.id ?? '';
+    const secondId = parseEntry({ born: 1_764_720_000_001 })?.id ?? '';
+    expect(firstId === secondId).toEqual(false);
+    expect([firstId, secondId].map(instanceOf)).toEqual(['i-1', 'i-1']);
   });
 
-  // Entries come from other writers, too: a missing capacity was taken for 1, and any state but one for ready.
-  it('name no server where a field is missing, of another type or of a value that is not known', () => {
+  // Other writers may store malformed entries. Lenient parsing took a missing capacity for 1, and any unknown state for ready.
+  it('rejects a server entry with a missing field, a wrong type or an unknown value', () => {
     for (const field of Object.keys(ENTRY)) {
-      expect(server({ [field]: undefined })).toEqual(null);
+      expect(parseEntry({ [field]: undefined })).toEqual(null);
       for (const value of [null, {}, [], true, '', '\ufffd\u0000', -1.5]) {
-        const isFine =
+        const isValid =
           (['zone', 'version'].includes(field) && typeof value === 'string') ||
-          // A service that no configuration names gets no request.
+          // Any service name is valid. A service that is missing from the configuration gets no requests.
           (field === 'service' && typeof value === 'string' && value !== '') ||
           (['warmupLeftS', 'sequence'].includes(field) && typeof value === 'number');
-        expect(server({ [field]: value }) === null).toEqual(!isFine);
+        expect(parseEntry({ [field]: value }) === null).toEqual(!isValid);
       }
     }
-    for (const change of [
+    for (const overrides of [
       { state: 'leaving' },
       { state: 'READY' },
       { capacity: 0 },
@@ -92,17 +92,17 @@
       { born: 1.5 },
       { born: null },
     ]) {
-      expect(server(change)).toEqual(null);
+      expect(parseEntry(overrides)).toEqual(null);
     }
   });
 
-  it('name no server for a name that no header can carry', () => {
+  it('rejects a server whose name is not a valid header value', () => {
     for (const name of ['', 'i 1', 'i\n1', '\u00e9']) {
       expect(readServer({ metadata: { name, revision: 4, made: 2 }, spec: ENTRY })).toEqual(null);
     }
   });
 
-  it('are read without an error, whatever they hold', () => {
+  it('never throws, whatever an object contains', () => {
     fc.assert(
       fc.property(fc.anything(), fc.string(), (spec, name) => {
         const object = { metadata: { name, revision: 1, made: 1 }, spec };
--- a/test/platform/test-limit-header.ts
+++ b/test/platform/test-limit-header.ts
@@ -2,66 +2,66 @@
 import { describe, it } from 'node:test';
 import { readLimit } from '../../platform/limit-header.js';
 
-function limitOf(...values: string[]): unknown {
+function parse(...values: string[]): unknown {
   return readLimit(values.flatMap((value) => ['Server-Limit', value]));
 }
 
-describe('the limit that an answer names', () => {
-  it('is a decimal number of requests a second', () => {
-    expect(limitOf('3')).toEqual(3);
-    expect(limitOf('3.2')).toEqual(3.2);
-    expect(limitOf('0.5')).toEqual(0.5);
-    expect(limitOf('.5')).toEqual(0.5);
-    expect(limitOf('4.')).toEqual(4);
-    expect(limitOf(' 7 ')).toEqual(7);
-    expect(limitOf('+7')).toEqual(7);
+describe('rate limit header', () => {
+  it('contains a decimal number of requests per second', () => {
+    expect(parse('3')).toEqual(3);
+    expect(parse('3.2')).toEqual(3.2);
+    expect(parse('0.5')).toEqual(0.5);
+    expect(parse('.5')).toEqual(0.5);
+    expect(parse('4.')).toEqual(4);
+    expect(parse(' 7 ')).toEqual(7);
+    expect(parse('+7')).toEqual(7);
   });
 
-  it('may have an exponent', () => {
-    expect(limitOf('1e2')).toEqual(100);
-    expect(limitOf('5E-1')).toEqual(0.5);
+  it('accepts an exponent', () => {
+    expect(parse('1e2')).toEqual(100);
+    expect(parse('5E-1')).toEqual(0.5);
   });
 
-  it('may be zero: nobody is to send anything', () => {
-    expect(limitOf('0')).toEqual(0);
-    expect(limitOf('0.0')).toEqual(0);
+  it('accepts zero, which forbids all requests', () => {
+    expect(parse('0')).toEqual(0);
+    expect(parse('0.0')).toEqual(0);
   });
 
-  it('may be very high', () => {
-    expect(limitOf('1e9')).toEqual(1e9);
+  it('accepts very large limits', () => {
+    expect(parse('1e9')).toEqual(1e9);
   });
 
-  it('is not named by an answer without the header', () => {
+  it('returns null for a response without the header', () => {
     expect(readLimit(['Content-Length', '0', 'Retry-After', '3'])).toEqual(null);
   });
 
-  it('cannot be read when it is negative', () => {
-    expect(limitOf('-1')).toEqual({ unreadable: '-1' });
+  it('is malformed if the limit is negative', () => {
+    expect(parse('-1')).toEqual({ unreadable: '-1' });
   });
 
-  it('cannot be read when it is no number', () => {
-    expect(limitOf('NaN')).toEqual({ unreadable: 'NaN' });
-    expect(limitOf('few')).toEqual({ unreadable: 'few' });
-    expect(limitOf('3/s')).toEqual({ unreadable: '3/s' });
-    expect(limitOf('0x10')).toEqual({ unreadable: '0x10' });
+  it('is malformed if the limit is not a decimal number', () => {
+    expect(parse('NaN')).toEqual({ unreadable: 'NaN' });
+    expect(parse('few')).toEqual({ unreadable: 'few' });
+    expect(parse('3/s')).toEqual({ unreadable: '3/s' });
+    expect(parse('0x10')).toEqual({ unreadable: '0x10' });
   });
 
-  it('cannot be read when it is without bound', () => {
-    expect(limitOf('Infinity')).toEqual({ unreadable: 'Infinity' });
-    expect(limitOf('1e400')).toEqual({ unreadable: '1e400' });
+  it('is malformed if the limit is infinite', () => {
+    expect(parse('Infinity')).toEqual({ unreadable: 'Infinity' });
+    expect(parse('1e400')).toEqual({ unreadable: '1e400' });
   });
 
-  it('cannot be read when it is empty', () => {
-    expect(limitOf('')).toEqual({ unreadable: '' });
+  it('is malformed if it is empty', () => {
+    expect(parse('')).toEqual({ unreadable: '' });
   });
 
-  it('is the lowest of two headers, and of a list in one', () => {
-    expect(limitOf('5', '3')).toEqual(3);
-    expect(limitOf('5, 3')).toEqual(3);
-    expect(limitOf('few', '3')).toEqual(3);
+  it('uses the lowest valid limit of several headers or of a list in one header', () => {
+    expect(parse('5', '3')).toEqual(3);
+    expect(parse('5, 3')).toEqual(3);
+    expect(parse('few', '3')).toEqual(3);
   });
 
-  it('is read in any case of the name, with and without the prefix of other headers', () => {
+  it('is found under a name in any case, with or without the common header prefix', () => {
     expect(readLimit(['sErVeR-LiMiT', '3'])).toEqual(3);
     expect(readLimit(['Fennelferry-Server-Limit', '4'])).toEqual(4);
   });
--- a/test/platform/test-load-header.ts
+++ b/test/platform/test-load-header.ts
@@ -3,18 +3,18 @@
 import { describe, it } from 'node:test';
 import { parseLoad } from '../../platform/load-header.js';
 
-describe('the load header', () => {
-  it('has three figures, or a fourth that tells how long work takes', () => {
+describe('load header', () => {
+  it('has three fields and an optional fourth one for the slowdown', () => {
     expect(parseLoad('3,1,4')).toEqual({ running: 3, waiting: 1, slots: 4, slowdown: null });
     expect(parseLoad('3,1,4,250')).toEqual({ running: 3, waiting: 1, slots: 4, slowdown: 2.5 });
   });
 
-  // A pattern of exactly three figures left every daemon blind to load when a fourth one came.
-  it('may have figures that nobody knows yet', () => {
+  // A pattern that matched exactly three fields would make every daemon reject the header once servers add a field.
+  it('ignores unknown additional fields', () => {
     expect(parseLoad('3, 1, 4, 100, 7, later')).toEqual({ running: 3, waiting: 1, slots: 4, slowdown: 1 });
   });
 
-  it('is malformed without the first three', () => {
+  it('is malformed unless the first three fields are valid', () => {
     for (const value of [
       '',
       '3',
@@ -31,13 +31,13 @@
     }
   });
 
-  it('says nothing of the speed when the fourth figure is nonsense', () => {
+  it('has no slowdown if the fourth field is malformed or implausible', () => {
     for (const value of ['3,1,4,', '3,1,4,0', '3,1,4,-5', '3,1,4,fast', '3,1,4,999999999']) {
       expect(parseLoad(value)?.slowdown).toEqual(null);
     }
   });
 
-  it('never throws and never gives a figure that is not a whole number', () => {
+  it('never throws and never yields a count that is not an integer', () => {
     fc.assert(
       fc.property(fc.string(), (value) => {
         const load = parseLoad(value);
--- a/test/platform/test-odd-objects.ts
+++ b/test/platform/test-odd-objects.ts
@@ -26,7 +26,7 @@
 let store: Server;
 let api: ObjectApi;
 let answer: string;
-let named: string[];
+let reportedNames: string[];
 let feed: FeedSource<ServerDescription>;
 
 function list(): Promise<ListOutcome<ServerDescription>> {
@@ -37,19 +37,19 @@
   return new Promise((resolve) => feed.watch(5, 1_000, resolve));
 }
 
-async function listed(items: readonly unknown[]): Promise<string[]> {
+async function listNames(items: readonly unknown[]): Promise<string[]> {
   answer = JSON.stringify({ items, more: false, at: 9 });
   const outcome = await list();
   return outcome.kind === 'listed' ? outcome.items.map(({ id }) => id) : [outcome.kind];
 }
 
-describe('objects that another writer has spoilt', () => {
+describe('malformed objects of other writers', () => {
   beforeEach(async () => {
-    named = [];
+    reportedNames = [];
     store = createServer((_, response) => response.end(answer));
     await new Promise<void>((resolve) => store.listen(0, '127.0.0.1', resolve));
     api = new ObjectApi(`127.0.0.1:${(store.address() as AddressInfo).port}`);
-    feed = api.feed('servers', readServer, (_, name) => named.push(name));
+    feed = api.feed('servers', readServer, (_, name) => reportedNames.push(name));
   });
 
   afterEach(() => {
@@ -58,20 +58,20 @@
     store.close();
   });
 
-  it('leave the others of a list as they are, also one without a revision and a last one without a name', async () => {
-    const odd = [{ metadata: { name: 'b' }, spec: SPEC }, entry('c', null), entry('d', 'bytes'), {}, 7];
-    expect(await listed([entry('a'), ...odd, entry('e'), null])).toEqual(['a', 'e']);
-    expect(named).toEqual(['b', 'c', 'd', '', '', '']);
+  it('do not affect other objects of a list, even without a revision or, at its end, without a name', async () => {
+    const malformed = [{ metadata: { name: 'b' }, spec: SPEC }, entry('c', null), entry('d', 'bytes'), {}, 7];
+    expect(await listNames([entry('a'), ...malformed, entry('e'), null])).toEqual(['a', 'e']);
+    expect(reportedNames).toEqual(['b', 'c', 'd', '', '', '']);
   });
 
-  it('end a list that says it has more and names nothing to go on from', async () => {
+  it('end a list that announces more pages but has no name to continue from', async () => {
     answer = JSON.stringify({ items: [{}, null], more: true, at: 9 });
     expect(await list()).toEqual({ kind: 'listed', items: [], revision: 9 });
     answer = JSON.stringify({ items: [entry('a')], more: true, at: 9 });
     expect((await list()).kind).toEqual('listed');
   });
 
-  it('are gone in a watch, with the others of it taken in', async () => {
+  it('are reported as removed by a watch, which still applies its other changes', async () => {
     const events = [
       { gone: false, object: entry('a', { ...SPEC, state: 'unheard of' }) },
       { gone: false, object: { metadata: { name: 'b' } } },
@@ -89,17 +89,17 @@
     ]);
   });
 
-  it('fail a call whose answer is no text of the kind, and no other one', async () => {
+  it('fail only the call whose response is not valid JSON', async () => {
     answer = '\u0000{"items":';
     expect((await list()).kind).toEqual('failed');
-    expect(await listed([entry('a')])).toEqual(['a']);
+    expect(await listNames([entry('a')])).toEqual(['a']);
   });
 
-  it('never spoil a good one, whatever they are', async () => {
+  it('never affect well-formed objects, whatever they contain', async () => {
     await fc.assert(
-      fc.asyncProperty(fc.array(fc.jsonValue()), async (odd) => {
-        const found = await listed([entry('a'), ...odd, entry('e')]);
-        expect(found).toEqual(['a', 'e']);
+      fc.asyncProperty(fc.array(fc.jsonValue()), async (malformed) => {
+        const names = await listNames([entry('a'), ...malformed, entry('e')]);
+        expect(names).toEqual(['a', 'e']);
       }),
       { seed: 42, numRuns: 50 },
     );
--- a/test/platform/test-server-api.ts
+++ b/test/platform/test-server-api.ts
@@ -9,7 +9,7 @@
 import type { ServerNotice } from '../../src/router/model/server-notice.js';
 import type { ControlListener } from '../../src/router/ports.js';
 
-/** For calls whose answers' notices don't matter. */
+/** Listener for calls whose notices and limits do not matter. */
 const IGNORE: ControlListener = { noticed: () => undefined, limitRead: () => undefined };
 const EMPTY_ANSWER = 'HTTP/1.1 200 OK\r\nContent-Length: 0\r\n\r\n';
 const LONG_PATIENCE = 30_000;
@@ -38,7 +38,7 @@
   };
 }
 
-describe('calls to servers', () => {
+describe('server control client', () => {
   beforeEach(async () => {
     sockets = [];
     muting = null;
@@ -54,15 +54,15 @@
     server.close();
   });
 
-  // Found by a day of our own: a grant that had timed out behind a partition arrived 6 s later, when the
-  // partition healed, after the keys had gone to another server.
-  it('resets the connection of a call that is given up, so that it cannot arrive late', async () => {
+  // Without a reset, a grant that timed out during a network partition arrived 6 s later, when the partition healed and the keys
+  // already belonged to another server.
+  it('resets the connection of a call that timed out, so that the call cannot arrive late', async () => {
     const api = new ServerApi();
-    const ended = new Promise<string>((resolve) => {
+    const connectionEnd = new Promise<string>((resolve) => {
       server.on('connection', (socket) => {
         socket.on('error', (error: NodeJS.ErrnoException) => resolve(error.code ?? ''));
         socket.on('end', () => resolve('end'));
-        // The first call is answered: the second finds an open connection, however busy the machine is.
+        // Responds to the first call, so that the second one finds an open connection even on a busy machine.
         socket.once('data', () => {
           socket.write(EMPTY_ANSWER);
           socket.resume();
@@ -70,16 +70,16 @@
       });
     });
     expect(await api.call(grant(LONG_PATIENCE), IGNORE)).toEqual({ kind: 'accepted', handover: null });
-    // The connection is at rest again, and taken for the next call, a turn of the loop after its answer.
+    // The connection can be reused for the next call one turn of the event loop after its response.
     await new Promise((resolve) => setImmediate(resolve));
     expect((await api.call(grant(SHORT_PATIENCE), IGNORE)).kind).toEqual('unanswered');
-    expect(await ended).toEqual('ECONNRESET');
+    expect(await connectionEnd).toEqual('ECONNRESET');
     api.close();
   });
 
-  // Beside load a call may be given up while its connection is still opening: then none of it may be written once
-  // the connection stands.
-  it('never writes a call that was given up before its connection stood', async () => {
+  // On a busy machine a call may time out while its connection is being established. No part of the call may be written once the
+  // connection is open.
+  it('never writes a call that timed out before its connection was established', async () => {
     const api = new ServerApi();
     let received = '';
     server.on('connection', (socket) => {
@@ -89,10 +89,10 @@
         socket.write(EMPTY_ANSWER);
       });
     });
-    const givenUp = api.call(grant(NO_PATIENCE, GIVEN_UP_FENCE), IGNORE);
+    const timedOut = api.call(grant(NO_PATIENCE, GIVEN_UP_FENCE), IGNORE);
     blockLoop();
-    expect((await givenUp).kind).toEqual('unanswered');
-    // A later call is written after all that the first one could have left behind.
+    expect((await timedOut).kind).toEqual('unanswered');
+    // A later call is written after any data that the first one could have left behind.
     expect(await api.call(grant(LONG_PATIENCE, LATER_FENCE), IGNORE)).toEqual({
       kind: 'accepted',
       handover: null,
@@ -102,8 +102,8 @@
     api.close();
   });
 
-  // Three calls in a row without an answer make a server count as silent, and its keys move.
-  it('lose one time-out, and not one for each connection, when connections to a server go silent', async () => {
+  // After three consecutive calls without a response a server counts as unresponsive, and its keys are moved.
+  it('has only one call time out, not one per connection, when all open connections become unresponsive', async () => {
     const connections = 6;
     muting = await MutingServer.start((socket) => void socket.write(EMPTY_ANSWER));
     address = muting.address;
@@ -118,7 +118,7 @@
     api.close();
   });
 
-  it('tells what the answer to a call or a probe says of the server', async () => {
+  it('passes the notice and the limit in the response to a call or a probe to the listener', async () => {
     const head = 'Server-Leaving: 1\r\nRetry-After: 2\r\nServer-Limit: 3.2\r\nContent-Length: 0\r\n';
     server.on('connection', (socket) =>
       socket.on('data', () => socket.write(`HTTP/1.1 503 Full\r\n${head}\r\n`)),
@@ -140,7 +140,7 @@
     api.close();
   });
 });
-/** Keeps the loop busy, so that a timer that is due runs before a connection that has come up is noticed. */
+/** Blocks the event loop, so that a timer that is due runs before the loop detects that a connection is established. */
 function blockLoop(): void {
   const until = performance.now() + BLOCKED_MILLISECONDS;
   while (performance.now() < until);
--- a/test/settings/test-daemon-settings.ts
+++ b/test/settings/test-daemon-settings.ts
@@ -11,12 +11,12 @@
 };
 
 describe('daemon settings', () => {
-  it('fills in the defaults', () => {
+  it('fills in default values', () => {
     const settings = checkSettings(GOOD, 'test')._unsafeUnwrap();
     expect(settings.limits.drainMilliseconds).toEqual(10_000);
   });
 
-  it('names every fault at once, with path, what was found and what is allowed', () => {
+  it('lists all violations at once, each with its path, the value found and the allowed values', () => {
     const listen = { ...GOOD.listen, http: 'localhost:80' };
     const error = checkSettings({ ...GOOD, id: 'Bad Name', listen, surplus: 1 }, 'test')._unsafeUnwrapErr();
     expect(error.faults.length).toEqual(3);
@@ -26,7 +26,7 @@
     );
   });
 
-  it('lets flags override the file', () => {
+  it('gives flags precedence over the file', () => {
     const settings = checkSettings(GOOD, 'test', { id: 'd-2', http: '127.0.0.1:9' })._unsafeUnwrap();
     expect([settings.id, settings.listen.http, settings.listen.admin]).toEqual([
       'd-2',
@@ -35,7 +35,7 @@
     ]);
   });
 
-  it('says which file cannot be read', () => {
+  it('names the file that cannot be read', () => {
     expect(readSettings('/nowhere.yaml')._unsafeUnwrapErr().peer).toEqual('/nowhere.yaml');
   });
 });
--- a/test/wire/test-codecs.ts
+++ b/test/wire/test-codecs.ts
@@ -17,8 +17,8 @@
 });
 
 describe('control codec', () => {
-  it('gives every call back as it was', () => {
-    const call = fc.record(
+  it('decodes every request to the original', () => {
+    const anyRequest = fc.record(
       {
         shard: fc.string(),
         generation: fc.nat({ max: 9 }).map((value) => value + 1),
@@ -34,14 +34,14 @@
       { noNullPrototype: true },
     );
     fc.assert(
-      fc.property(call, (request) =>
+      fc.property(anyRequest, (request) =>
         expect(decodeControlRequest(encodeControlRequest(request))).toEqual(request),
       ),
       { seed: 1 },
     );
   });
 
-  it('tells an empty inventory from none', () => {
+  it('distinguishes an empty inventory from a missing one', () => {
     const reply = {
       sequence: 1,
       serverIncarnation: 1,
@@ -54,13 +54,13 @@
       draining: false,
     };
     expect(decodeControlReply(encodeControlReply({ ...reply, inventory: [] })).inventory).toEqual([]);
-    const none = decodeControlReply(encodeControlReply({ ...reply, inventory: null }));
-    expect(none).toEqual({ ...reply, inventory: null, clock: 5 });
+    const withoutInventory = decodeControlReply(encodeControlReply({ ...reply, inventory: null }));
+    expect(withoutInventory).toEqual({ ...reply, inventory: null, clock: 5 });
   });
 });
 
 describe('envelope codec', () => {
-  it('gives an envelope back as it was', () => {
+  it('decodes an envelope to the original', () => {
     const scope = { shard: 'g/0', generation: 3, term: 2 };
     const change = {
       holdings: [{ server: 's', units: [1, 70_000], epochs: [1_000_000_001, 2] }],
@@ -84,7 +84,7 @@
     expect(decodeEnvelope(encodeEnvelope(envelope), 'peer')._unsafeUnwrap()).toEqual(envelope);
   });
 
-  it('refuses any bytes that are no envelope, and never throws', () => {
+  it('returns an error for malformed bytes and never throws', () => {
     fc.assert(
       fc.property(fc.uint8Array({ maxLength: 64 }), (bytes) => {
         decodeEnvelope(bytes, 'peer');
@@ -94,7 +94,7 @@
     expect(decodeEnvelope(new Uint8Array([255, 255]), 'peer').isErr()).toEqual(true);
   });
 
-  it('reads frames however the bytes are cut, and refuses one that is too long', () => {
+  it('reads frames wherever the stream is split, and rejects a frame that is too long', () => {
     const bytes = Buffer.from([0, 0, 0, 2, 7, 8, 0, 0, 0, 1, 9]);
     for (let cut = 0; cut <= bytes.length; cut += 1) {
       const reader = new FrameReader();
--- a/test/wire/test-peer-codec.ts
+++ b/test/wire/test-peer-codec.ts
@@ -73,34 +73,34 @@
   { kind: 'configurationNews', revision: 5, configuration: LARGE },
 ];
 
-describe('messages between daemons as bytes', () => {
+describe('peer message codec', () => {
   for (const message of MESSAGES) {
-    it(`come back as they were: ${message.kind}`, () => {
+    it(`decodes a message to the original: ${message.kind}`, () => {
       const decoded = decodePeerMessage(encodePeerMessage(message), 'peer');
       expect(decoded._unsafeUnwrap()).toEqual(message);
     });
   }
 
-  it('tell of no evacuations when the sender knows nothing of them', () => {
+  it('decodes evacuations as null when the sender does not know them', () => {
     const heartbeat = { term: 3, leader: 'd1', leaderAddress: '10.0.0.1:70' };
     const decoded = decodePeerMessage(router.Frame.encode({ heartbeat }).finish(), 'peer');
     expect(decoded.isOk() && decoded.value.kind === 'heartbeat' && decoded.value.evacuations).toEqual(null);
   });
 
-  it('are short even for a configuration of 1,400 routes', () => {
+  it('compresses a configuration of 1,400 routes to less than 30 kB', () => {
     const bytes = encodePeerMessage({ kind: 'configurationNews', revision: 5, configuration: LARGE });
     expect(bytes.length < 30_000).toEqual(true);
   });
 
-  it('are refused when they are nonsense, deflated nonsense, or inflate without bound', () => {
-    const endless = deflateRawSync(Buffer.alloc(17 * 1024 * 1024));
-    const nonsense = [
+  it('rejects garbage, compressed garbage and messages that are too large when decompressed', () => {
+    const oversized = deflateRawSync(Buffer.alloc(17 * 1024 * 1024));
+    const malformed = [
       Buffer.from('nonsense'),
       Buffer.alloc(0),
       router.Frame.encode({ deflated: Buffer.from('nonsense') }).finish(),
-      router.Frame.encode({ deflated: endless }).finish(),
+      router.Frame.encode({ deflated: oversized }).finish(),
     ];
-    for (const bytes of nonsense) {
+    for (const bytes of malformed) {
       const decoded = decodePeerMessage(bytes, '10.0.0.9:1');
       expect(decoded.isErr() && decoded.error.message.includes('10.0.0.9:1')).toEqual(true);
     }
