--- a/scripts/make-day.mjs
+++ b/scripts/make-day.mjs
@@ -78,7 +78,9 @@
 }
 
 const faults = Array.from({ length: 3 + randomBelow(MAX_FAULTS - 2) }, () => formatEntry(pick(FAULTS)));
-const plans = Array.from({ length: 1 + randomBelow(MAX_PLANNED_CHANGES) }, () => formatEntry(pick(PLANNED_CHANGES)));
+const plans = Array.from({ length: 1 + randomBelow(MAX_PLANNED_CHANGES) }, () =>
+  formatEntry(pick(PLANNED_CHANGES)),
+);
 process.stdout.write(`# Made by scripts/make-day.mjs ${seed}.
 [[day]]
 name = "made-${seed}"
--- a/src/http-client/renewable-pool.ts
+++ b/src/http-client/renewable-pool.ts
@@ -90,7 +90,10 @@
   ): Promise<{ answer: Dispatcher.ResponseData; text: string }> {
     const pool = this.#pool;
     const timeoutSignal: PatienceSignal = new PatienceSignal(timeout, () => pool.isWritten(call));
-    const signal = cancelSignal === undefined ? timeoutSignal.signal : AbortSignal.any([timeoutSignal.signal, cancelSignal]);
+    const signal =
+      cancelSignal === undefined
+        ? timeoutSignal.signal
+        : AbortSignal.any([timeoutSignal.signal, cancelSignal]);
     const call: Dispatcher.RequestOptions = { ...request, signal };
     try {
       const answer = await pool.request(call);
--- a/src/settings/daemon-settings.ts
+++ b/src/settings/daemon-settings.ts
@@ -58,7 +58,9 @@
     Object.fromEntries(Object.entries(fields).filter(([, entry]) => entry !== undefined));
   const listenOverrides = withoutUndefined({ http, admin, internal });
   const listen =
-    Object.keys(listenOverrides).length === 0 ? base['listen'] : { ...(base['listen'] as object), ...listenOverrides };
+    Object.keys(listenOverrides).length === 0
+      ? base['listen']
+      : { ...(base['listen'] as object), ...listenOverrides };
   return { ...base, ...withoutUndefined(otherOverrides), ...(listen === undefined ? {} : { listen }) };
 }
 
--- a/test/platform/test-documents.ts
+++ b/test/platform/test-documents.ts
@@ -39,7 +39,7 @@
 }
 
 function parseEntry(overrides: object): ReturnType<typeof readServer> {
-  return readServer({ metadata: { name: 'i-1', revision: 4, made: 2 }, spec: { ...ENTRY, ...change } });
+  return readServer({ metadata: { name: 'i-1', revision: 4, made: 2 }, spec: { ...ENTRY, ...overrides } });
 }
 
 describe('parsing of platform documents', () => {
