--- a/src/runtime/store-client.ts
+++ b/src/runtime/store-client.ts
@@ -6,7 +6,7 @@
 import type { ReadObjectEffect, WriteObjectEffect } from '../core/effects.js';
 import type { ObjectReadEvent, ObjectWrittenEvent } from '../core/events.js';
 import { StoreError } from '../errors.js';
-import { RenewablePool } from '../http-client/index.js';
+import { RecyclingPool } from '../http-client/index.js';
 
 const CALL_TIMEOUT_MILLISECONDS = 3_000;
 /** A watch that the store got while it was away is never answered: after a long one, news came 11 s late. */
@@ -20,14 +20,14 @@
 
 /** Reads and writes objects; never throws. */
 export class StoreClient {
-  readonly #pool: RenewablePool;
+  readonly #pool: RecyclingPool;
   readonly #origin: string;
   readonly #abort = new AbortController();
 
   /** @param origin for example `http://127.0.0.1:7400` */
   constructor(origin: string) {
     this.#origin = origin;
-    this.#pool = new RenewablePool(origin, {
+    this.#pool = new RecyclingPool(origin, {
       connections: CONNECTIONS,
       connectTimeout: CALL_TIMEOUT_MILLISECONDS,
     });
--- a/test/router-runtime/test-attempt.ts
+++ b/test/router-runtime/test-attempt.ts
@@ -7,7 +7,7 @@
 import type { AttemptResult } from '../../src/router/events.js';
 import type { LimitReading } from '../../src/router/model/server-limit.js';
 import type { ServerNotice } from '../../src/router/model/server-notice.js';
-import { REQUEST_PROTOCOL } from '../../platform/names.js';
+import { REQUEST_PROTOCOL } from '../../platform/protocol.js';
 import { RawServer, type RawResponder } from '../support/raw-server.js';
 
 const ID = 'a-1';
--- a/test/router-runtime/test-caller-front.ts
+++ b/test/router-runtime/test-caller-front.ts
@@ -1,7 +1,7 @@
 import { expect } from 'earl';
 import { createConnection, type AddressInfo } from 'node:net';
 import { afterEach, describe, it } from 'node:test';
-import { REQUEST_PROTOCOL } from '../../platform/names.js';
+import { REQUEST_PROTOCOL } from '../../platform/protocol.js';
 import { CallerFront } from '../../src/router-runtime/caller-front.js';
 import { PollBarrier } from '../../src/event-loop/poll-barrier.js';
 import { ServerConnections } from '../../src/router-runtime/server-connections.js';
--- a/test/router-runtime/test-caller-identity.ts
+++ b/test/router-runtime/test-caller-identity.ts
@@ -9,7 +9,7 @@
 import { afterEach, describe, it } from 'node:test';
 import { request } from 'node:http';
 import type { AddressInfo } from 'node:net';
-import { REQUEST_PROTOCOL } from '../../platform/names.js';
+import { REQUEST_PROTOCOL } from '../../platform/protocol.js';
 import { CallerFront } from '../../src/router-runtime/caller-front.js';
 import type { RouterEvent } from '../../src/router/events.js';
 import { PollBarrier } from '../../src/event-loop/poll-barrier.js';
--- a/test/router-runtime/test-late-timeouts.ts
+++ b/test/router-runtime/test-late-timeouts.ts
@@ -1,6 +1,6 @@
 import { expect } from 'earl';
 import { afterEach, describe, it } from 'node:test';
-import { RenewablePool } from '../../src/http-client/index.js';
+import { RecyclingPool } from '../../src/http-client/index.js';
 import { encodePeerMessage } from '../../src/router-runtime/peer-codec.js';
 import { PeerLinks } from '../../src/router-runtime/peer-links.js';
 import { AnsweringServer } from '../support/answering-server.js';
@@ -32,7 +32,7 @@
   it('take an answer that has come in time', async () => {
     const answer = Buffer.from('HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nbody');
     server = await AnsweringServer.start(answer, false);
-    const pool = new RenewablePool(`http://${server.address}`, {});
+    const pool = new RecyclingPool(`http://${server.address}`, {});
     const call = pool.request({ method: 'GET', path: '/' }, PATIENCE).then(
       ({ text }) => text,
       (error: unknown) => String(error),
--- a/test/support/held-up-front.ts
+++ b/test/support/held-up-front.ts
@@ -4,7 +4,7 @@
  */
 import type { AddressInfo } from 'node:net';
 import { Worker } from 'node:worker_threads';
-import { REQUEST_PROTOCOL } from '../../platform/names.js';
+import { REQUEST_PROTOCOL } from '../../platform/protocol.js';
 import { CallerFront } from '../../src/router-runtime/caller-front.js';
 import { LoopMonitor } from '../../src/router-runtime/loop-monitor.js';
 import { PollBarrier } from '../../src/event-loop/poll-barrier.js';
