--- a/src/router-runtime/admin-routes.ts
+++ b/src/router-runtime/admin-routes.ts
@@ -1,4 +1,4 @@
-/** What the operators' address answers: metrics, what the daemon believes, and the requests in quarantine. */
+/** Routes of the admin server: metrics, the daemon's state, rate limits of servers, and quarantined requests. */
 import { getRequestListener } from '@hono/node-server';
 import { Hono } from 'hono';
 import type { RequestListener } from 'node:http';
@@ -11,7 +11,7 @@
 const ACCEPTED = 202;
 const NOT_FOUND = 404;
 
-/** What the daemon believes, in short. */
+/** Summarises the daemon's state. */
 function describeState(state: RouterState): object {
   const { identity, configuration, serversRevision, servers, view, election, leadership } = state;
   return {
@@ -27,8 +27,8 @@
 }
 
 /**
- * `GET /metrics`, `GET /state`, `GET /limits` (servers that name limits), `GET /quarantines`, and `DELETE /quarantines/FINGERPRINT`, which lets a request go to servers again on
- * all daemons.
+ * Serves `GET /metrics`, `GET /state`, `GET /limits` (servers that announce rate limits), `GET /quarantines`, and
+ * `DELETE /quarantines/FINGERPRINT`, which lifts the quarantine of a request on all daemons.
  */
 export function createAdminRoutes(
   state: RouterState,
@@ -52,6 +52,6 @@
     dispatch({ kind: 'quarantineLifted', fingerprint });
     return context.json({ fingerprint, lifted: true }, ACCEPTED);
   });
-  const serve = getRequestListener(app.fetch);
-  return (request, response) => void serve(request, response);
+  const handleRequest = getRequestListener(app.fetch);
+  return (request, response) => void handleRequest(request, response);
 }
--- a/src/router-runtime/attempt.ts
+++ b/src/router-runtime/attempt.ts
@@ -1,6 +1,6 @@
 /**
- * One attempt at a server: sends the request, reads the answer, and decides what it is: a whole answer of
- * this request, a rejection, or something that tells nothing. Short answers are kept until they are whole.
+ * One attempt to run a request on a server: sends the request, reads the response, and classifies it as a complete response to
+ * this request, a rejection, or a lost attempt, whose outcome is unknown. Short responses are buffered until they are complete.
  */
 import type { AttemptResult, LoadReading } from '../router/events.js';
 import type { LimitReading } from '../router/model/server-limit.js';
@@ -9,16 +9,16 @@
 import { headerValue } from './headers.js';
 import type { ServerConnection } from './server-connections.js';
 
-/** Longer answers are passed on as they come. */
+/** Longer responses are streamed to the caller. */
 const LARGEST_BUFFERED_BYTES = 256 * 1024;
 const MISDIRECTED = 421;
 const FIRST_FINAL_STATUS = 200;
 const FIRST_FAILURE_STATUS = 300;
-/** Codes of errors by which the other side's end of a connection shows. */
+/** Error codes that mean that the server has closed or reset the connection. */
 const ENDED_CODES: ReadonlySet<string> = new Set(['ECONNRESET', 'EPIPE', 'UND_ERR_SOCKET']);
 const BODILESS_STATUSES: ReadonlySet<number> = new Set([204, 304]);
 
-/** A request as it goes to a server. */
+/** A request as it is sent to a server. */
 export interface OutgoingRequest {
   readonly method: string;
   readonly path: string;
@@ -27,26 +27,29 @@
   readonly attemptId: string;
 }
 
-/** Where an answer goes. */
+/** Writes a server's response to the caller. */
 export interface AnswerSink {
-  /** An answer that has ended in order. One without a length goes on without a length. */
+  /** Sends a complete response. A response that had no length is sent without one. */
   whole(status: number, rawHeaders: string[], body: Buffer, hasLength: boolean): void;
-  /** The head of a long answer, and its beginning. Returns false when the caller takes no more for now. */
+  /** Sends the head and the first bytes of a long response. Returns false if the writer must wait for `onDrain`. */
   begin(status: number, rawHeaders: string[], body: Buffer, onDrain: () => void): boolean;
-  /** More of a long answer. */
+  /** Sends the next bytes of a long response. Returns false if the writer must wait for `onDrain`. */
   more(chunk: Buffer): boolean;
   end(): void;
-  /** A long answer broke off: the caller must see that. */
+  /** Closes the caller's connection, which shows the caller that a long response is incomplete. */
   breakOff(): void;
 }
 
-/** Told how an attempt goes. */
+/** Receives what an attempt learns, and its result. */
 export interface AttemptListener {
-  /** The answer's head, or its trailers, say something of the server: told at once, however the attempt ends. */
+  /** Receives a notice about the server from the response's headers or trailers, at once and however the attempt ends. */
   noticed(notice: ServerNotice): void;
-  /** Of the head of each answer to this request that names a limit, or that is the server's own for certain and names none. */
+  /**
+   * Receives the limit in the headers of a response to this request: null if they name none and the response surely comes from
+   * the server itself.
+   */
   limitRead(reading: LimitReading): void;
-  /** Called once. `reusable`: so is the connection. */
+  /** Called once, with whether the connection may carry further requests. */
   finished(result: AttemptResult, reusable: boolean): void;
 }
 
@@ -56,15 +59,15 @@
   readonly #sink: AnswerSink;
   readonly #connection: ServerConnection;
   readonly #listener: AttemptListener;
-  #finished = false;
-  #sent = false;
+  #isFinished = false;
+  #isSent = false;
   #abort: ((reason?: Error) => void) | undefined;
   #resume: () => void = () => undefined;
   #status = 0;
   #rawHeaders: string[] = [];
   #chunks: Buffer[] = [];
-  #bytes = 0;
-  #streaming = false;
+  #bufferedBytes = 0;
+  #isStreaming = false;
 
   constructor(
     request: OutgoingRequest,
@@ -95,90 +98,90 @@
     );
   }
 
-  /** Gives the attempt up; its connection is closed. */
+  /** Cancels the attempt and closes its connection. */
   cancel(): void {
-    if (!this.#finished) {
-      this.#finished = true;
-      if (this.#streaming) {
+    if (!this.#isFinished) {
+      this.#isFinished = true;
+      if (this.#isStreaming) {
         this.#sink.breakOff();
       }
       this.#abort?.(new Error('cancelled'));
-      this.#listener.finished(this.#lost('cancelled', false), false);
+      this.#listener.finished(this.#lostResult('cancelled', false), false);
     }
   }
 
-  /** Gives the attempt up if it has not been sent. */
+  /** Cancels the attempt if it has not been sent. */
   withdraw(): void {
-    if (!this.#finished && !this.#sent) {
-      this.#finished = true;
+    if (!this.#isFinished && !this.#isSent) {
+      this.#isFinished = true;
       this.#listener.finished({ kind: 'notSent', reason: 'withdrawn', refused: false }, false);
     }
   }
 
   #onConnect(abort: (reason?: Error) => void): void {
     this.#abort = abort;
-    if (this.#finished) {
+    if (this.#isFinished) {
       abort(new Error('cancelled'));
       return;
     }
-    // From here on the request is written.
-    this.#sent = true;
+    // The request is written to the connection from here on: the server may run it.
+    this.#isSent = true;
   }
 
   #onHeaders(status: number, raw: Buffer[], resume: () => void): boolean {
-    if (status < FIRST_FINAL_STATUS || this.#finished) {
+    if (status < FIRST_FINAL_STATUS || this.#isFinished) {
       return true;
     }
     this.#status = status;
     this.#resume = resume;
     this.#rawHeaders = raw.map((part) => part.toString('latin1'));
-    this.#readNotice(this.#rawHeaders);
-    const echoed = headerValue(this.#rawHeaders, this.#protocol.attemptId);
-    const isForeign = echoed !== null && echoed !== this.#request.attemptId;
-    if (!isForeign) {
-      this.#readLimit();
+    this.#reportNotice(this.#rawHeaders);
+    const echoedId = headerValue(this.#rawHeaders, this.#protocol.attemptId);
+    const isForOtherRequest = echoedId !== null && echoedId !== this.#request.attemptId;
+    if (!isForOtherRequest) {
+      this.#reportLimit();
     }
-    const needsEcho = status < FIRST_FAILURE_STATUS;
-    if (isForeign || (needsEcho && echoed === null)) {
-      this.#fail(isForeign ? 'an answer to another request' : 'an answer without the id of the request');
+    const needsEchoedId = status < FIRST_FAILURE_STATUS;
+    if (isForOtherRequest || (needsEchoedId && echoedId === null)) {
+      this.#fail(isForOtherRequest ? 'an answer to another request' : 'an answer without the id of the request');
     }
     return true;
   }
 
   #onData(chunk: Buffer): boolean {
-    if (this.#finished) {
+    if (this.#isFinished) {
       return true;
     }
-    if (this.#streaming) {
+    if (this.#isStreaming) {
       return this.#sink.more(chunk);
     }
     this.#chunks.push(Buffer.from(chunk));
-    this.#bytes += chunk.length;
-    if (this.#bytes <= LARGEST_BUFFERED_BYTES) {
+    this.#bufferedBytes += chunk.length;
+    if (this.#bufferedBytes <= LARGEST_BUFFERED_BYTES) {
       return true;
     }
-    this.#streaming = true;
-    const begun = Buffer.concat(this.#chunks.splice(0));
-    return this.#sink.begin(this.#status, this.#rawHeaders, begun, () => this.#resume());
+    this.#isStreaming = true;
+    const firstBytes = Buffer.concat(this.#chunks.splice(0));
+    return this.#sink.begin(this.#status, this.#rawHeaders, firstBytes, () => this.#resume());
   }
 
   #onComplete(trailers: readonly (Buffer | string)[] | null): void {
-    if (this.#finished) {
+    if (this.#isFinished) {
       return;
     }
     if (trailers !== null && trailers.length > 0) {
-      this.#readNotice(trailers.map((part) => part.toString('latin1')));
+      this.#reportNotice(trailers.map((part) => part.toString('latin1')));
     }
-    const endsWithConnection = this.#endsWithConnection();
-    if (endsWithConnection && this.#connection.failed) {
+    const isDelimitedByClose = this.#isDelimitedByClose();
+    if (isDelimitedByClose && this.#connection.failed) {
       this.#fail('the answer was reset', true);
       return;
     }
-    this.#finished = true;
-    const reusable = !endsWithConnection;
-    if (this.#streaming) {
+    this.#isFinished = true;
+    const reusable = !isDelimitedByClose;
+    if (this.#isStreaming) {
       this.#sink.end();
-      this.#listener.finished(this.#answered(), reusable);
+      this.#listener.finished(this.#answeredResult(), reusable);
       return;
     }
     const result = this.#classify();
@@ -188,27 +191,30 @@
     this.#listener.finished(result, reusable);
   }
 
-  #readNotice(raw: readonly string[]): void {
+  #reportNotice(raw: readonly string[]): void {
     const notice = this.#protocol.readNotice(this.#status, raw);
     if (notice !== null) {
       this.#listener.noticed(notice);
     }
   }
 
-  /** Only an answer that is the server's own for certain says by its silence that there is no limit. */
-  #readLimit(): void {
+  /**
+   * Reports the limit that the response names. A missing limit counts only if the response surely comes from the server itself, which
+   * a 421 response does not show.
+   */
+  #reportLimit(): void {
     const limit = this.#protocol.readLimit(this.#rawHeaders);
-    const isOwn = headerValue(this.#rawHeaders, this.#protocol.seal) !== null || this.#isNotRun();
-    if (limit !== null || (isOwn && this.#status !== MISDIRECTED)) {
+    const isFromServer = headerValue(this.#rawHeaders, this.#protocol.seal) !== null || this.#isNotExecuted();
+    if (limit !== null || (isFromServer && this.#status !== MISDIRECTED)) {
       this.#listener.limitRead(limit);
     }
   }
 
-  #isNotRun(): boolean {
+  #isNotExecuted(): boolean {
     return headerValue(this.#rawHeaders, this.#protocol.notRun) !== null;
   }
 
-  #endsWithConnection(): boolean {
+  #isDelimitedByClose(): boolean {
     return (
       this.#request.method !== 'HEAD' &&
       !BODILESS_STATUSES.has(this.#status) &&
@@ -217,11 +223,11 @@
     );
   }
 
-  #answered(): AttemptResult {
-    return { kind: 'answered', status: this.#status, load: this.#load() };
+  #answeredResult(): AttemptResult {
+    return { kind: 'answered', status: this.#status, load: this.#readLoad() };
   }
 
-  #load(): LoadReading {
+  #readLoad(): LoadReading {
     const value = headerValue(this.#rawHeaders, this.#protocol.load);
     return value === null ? null : (this.#protocol.parseLoad(value) ?? { unreadable: value });
   }
@@ -229,44 +235,44 @@
   #classify(): AttemptResult {
     const status = this.#status;
     const misdirected = status === MISDIRECTED;
-    if (misdirected || this.#isNotRun()) {
-      return { kind: 'rejected', status, misdirected, load: this.#load() };
+    if (misdirected || this.#isNotExecuted()) {
+      return { kind: 'rejected', status, misdirected, load: this.#readLoad() };
     }
     if (headerValue(this.#rawHeaders, this.#protocol.seal) === null) {
-      return this.#lost(`an answer ${status} without a seal`, false);
+      return this.#lostResult(`an answer ${status} without a seal`, false);
     }
-    return this.#answered();
+    return this.#answeredResult();
   }
 
   #onError(error: NodeJS.ErrnoException): void {
-    if (this.#finished) {
+    if (this.#isFinished) {
       return;
     }
     const code = error.code ?? '';
-    this.#finished = true;
-    if (!this.#sent) {
+    this.#isFinished = true;
+    if (!this.#isSent) {
       this.#listener.finished(
         { kind: 'notSent', reason: error.message, refused: code === 'ECONNREFUSED' },
         false,
       );
       return;
     }
-    if (this.#streaming) {
+    if (this.#isStreaming) {
       this.#sink.breakOff();
     }
-    this.#listener.finished(this.#lost(error.message, ENDED_CODES.has(code)), false);
+    this.#listener.finished(this.#lostResult(error.message, ENDED_CODES.has(code)), false);
   }
 
-  #lost(reason: string, connectionEnded: boolean): AttemptResult {
-    return { kind: 'lost', reason, answerBegun: this.#streaming, connectionEnded };
+  #lostResult(reason: string, connectionEnded: boolean): AttemptResult {
+    return { kind: 'lost', reason, answerBegun: this.#isStreaming, connectionEnded };
   }
 
   #fail(reason: string, connectionEnded = false): void {
-    this.#finished = true;
-    if (this.#streaming) {
+    this.#isFinished = true;
+    if (this.#isStreaming) {
       this.#sink.breakOff();
     }
     this.#abort?.(new Error(reason));
-    this.#listener.finished(this.#lost(reason, connectionEnded), false);
+    this.#listener.finished(this.#lostResult(reason, connectionEnded), false);
   }
 }
--- a/src/router-runtime/caller-front.ts
+++ b/src/router-runtime/caller-front.ts
@@ -1,6 +1,6 @@
 /**
- * Reads whole requests of callers, hands them to the reducer, and carries attempts and answers out. Uses the
- * runtime's own HTTP server: a layer above it would cost more than the work itself.
+ * The HTTP server for callers: reads complete requests, passes them to the reducer, and performs the reducer's attempts and responses.
+ * Built directly on Node's HTTP server, because a framework on top would cost more than the work itself.
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { Socket } from 'node:net';
@@ -24,43 +24,43 @@
 const CONNECTIONS_CHECK_MILLISECONDS = 1_000;
 const FIRST_HEADER_TIMEOUT_MILLISECONDS = 10_000;
 const FIRST_IDLE_TIMEOUT_MILLISECONDS = 15_000;
-/** Bodies before the first configuration. */
+/** The largest request body accepted before the first configuration sets a limit. */
 const FIRST_BODY_BYTES = 1024 * 1024;
 const TOO_LARGE = 413;
 const BAD_REQUEST = 400;
 const NO_HEADERS: ReadonlySet<string> = new Set();
 
-/** How the event loop is doing now. */
+/** How far the event loop is behind. */
 export interface LoopState {
-  /** How long a request that is read now may have waited unread. */
+  /** Returns how many milliseconds a request that is read now may have waited unread. */
   readDelay(): Milliseconds;
-  /** It has polled its sockets a short time ago. */
+  /** Returns whether the loop has polled its sockets a short time ago. */
   isOnTime(): boolean;
 }
 
-/** What a front works with. */
+/** Dependencies of the frontend. */
 export interface CallerFrontParts {
   readonly protocol: RequestProtocol;
   readonly connections: ServerConnections;
   readonly barrier: PollBarrier;
   readonly dispatch: (event: RouterEvent) => void;
   readonly loop: LoopState;
-  /** How long a request may wait unread and still be answered in time; null: it has no route. */
+  /** Returns how long a request may wait unread and still be answered in time, or null if no route matches it. */
   readonly longestReadDelay: (host: string, target: string) => Milliseconds | null;
 }
 
-/** A caller's request between its arrival and the end of its answer. */
+/** A caller's request, from the time when it has been read until its response has ended. */
 interface Exchange {
   readonly incoming: IncomingMessage;
   readonly outgoing: ServerResponse;
   readonly body: Buffer | null;
   readonly attemptId: string;
   readonly key: Key | null;
-  /** The reducer has it. */
-  isTakenIn: boolean;
+  /** The reducer has received the request's arrival. */
+  isDispatched: boolean;
   attempt: Attempt | null;
   attemptNumber: number;
-  /** The attempt waits until the caller is known to be still there. */
+  /** The attempt is delayed until a recent poll has shown whether the caller has disconnected. */
   isAttemptWaiting: boolean;
 }
 
@@ -72,18 +72,18 @@
   readonly #loop: LoopState;
   readonly #barrier: PollBarrier;
   readonly #longestReadDelay: (incoming: IncomingMessage) => Milliseconds;
-  readonly #intake: RequestIntake<number>;
-  /** Of each open connection of a caller, the requests that have not ended: several when they came at once. */
-  readonly #requestsOf = new WeakMap<Socket, Set<number>>();
+  readonly #arrivals: RequestIntake<number>;
+  /** Unfinished requests of each open caller connection: more than one if the caller pipelines. */
+  readonly #requestsByConnection = new WeakMap<Socket, Set<number>>();
   readonly #usedConnections = new WeakSet<Socket>();
   readonly #exchanges = new Map<number, Exchange>();
-  readonly #notForwarded: ReadonlySet<string>;
+  readonly #removedHeaders: ReadonlySet<string>;
   #nextRequestId = 1;
-  #bodyBytes = FIRST_BODY_BYTES;
-  #closing = false;
+  #maxBodyBytes = FIRST_BODY_BYTES;
+  #isClosing = false;
 
-  constructor(parts: CallerFrontParts) {
-    const { protocol, connections, barrier, dispatch, loop, longestReadDelay } = parts;
+  constructor(options: CallerFrontParts) {
+    const { protocol, connections, barrier, dispatch, loop, longestReadDelay } = options;
     this.#protocol = protocol;
     this.#connections = connections;
     this.#dispatch = dispatch;
@@ -91,77 +91,77 @@
     this.#barrier = barrier;
     this.#longestReadDelay = (incoming) =>
       longestReadDelay(incoming.headers.host ?? '', incoming.url ?? '/') ?? Number.POSITIVE_INFINITY;
-    this.#intake = new RequestIntake(
+    this.#arrivals = new RequestIntake(
       barrier,
       () => PROCESS_CLOCK.now(),
-      (requestId, waited) => this.#takeIn(requestId, waited),
+      (requestId, readDelay) => this.#dispatchArrival(requestId, readDelay),
     );
-    this.#notForwarded = new Set([protocol.timeLeft, protocol.expectedServer]);
+    this.#removedHeaders = new Set([protocol.timeLeft, protocol.expectedServer]);
     this.server = createServer(
       { connectionsCheckingInterval: CONNECTIONS_CHECK_MILLISECONDS, noDelay: true },
-      (incoming, outgoing) => this.#receive(incoming, outgoing),
+      (incoming, outgoing) => this.#readRequest(incoming, outgoing),
     );
     barrier.watch(this.server);
-    this.server.on('connection', (socket) => this.#watch(socket));
+    this.server.on('connection', (socket) => this.#detectDisconnect(socket));
     this.server.headersTimeout = FIRST_HEADER_TIMEOUT_MILLISECONDS;
     this.server.requestTimeout = 0;
     this.server.keepAliveTimeout = FIRST_IDLE_TIMEOUT_MILLISECONDS;
   }
 
-  /** Requests whose answer has not ended. */
+  /** Returns the number of requests whose response has not ended. */
   get inFlight(): number {
     return this.#exchanges.size;
   }
 
-  /** Listens for callers. Rejects when the address is taken. */
+  /** Listens for callers. Rejects when the address is in use. */
   listen(address: string): Promise<void> {
     return listen(this.server, address);
   }
 
-  /** Puts limits in force; those on connections hold from their next request. */
+  /** Applies new limits. Limits on connections take effect with a connection's next request. */
   applyLimits(limits: CallerLimits): void {
-    this.#bodyBytes = limits.bodyBytes;
+    this.#maxBodyBytes = limits.bodyBytes;
     this.server.headersTimeout = limits.headerTimeout;
     this.server.keepAliveTimeout = limits.idleTimeout;
     (this.server as Server & { maxHeaderSize: number }).maxHeaderSize = limits.headerBytes;
   }
 
-  /** Whether every answer ends its connection from now on, so that callers go to another daemon. */
-  closeConnections(closing: boolean): void {
-    this.#closing = closing;
+  /** Sets whether each connection is closed after its next response, so that callers connect to another daemon. */
+  closeConnections(isClosing: boolean): void {
+    this.#isClosing = isClosing;
   }
 
-  /** Takes no new connections, and ends those at rest. */
+  /** Accepts no more connections, and closes idle ones. */
   closeIdle(): void {
     this.server.close();
     this.server.closeIdleConnections();
   }
 
-  /** Ends every connection. */
+  /** Closes every connection. */
   closeAll(): void {
     this.server.closeAllConnections();
   }
 
-  /** A caller that ends its side of a connection has left, also if it would still read. */
-  #watch(socket: Socket): void {
+  /** Reports callers that disconnect. A caller that half-closes its connection counts as gone, even if it would still read. */
+  #detectDisconnect(socket: Socket): void {
     const requests = new Set<number>();
-    this.#requestsOf.set(socket, requests);
-    const leave = (): void => requests.forEach((requestId) => this.#callerLeft(requestId));
-    socket.on('end', leave);
-    socket.on('error', leave);
-    socket.on('close', leave);
+    this.#requestsByConnection.set(socket, requests);
+    const onDisconnect = (): void => requests.forEach((requestId) => this.#reportDisconnect(requestId));
+    socket.on('end', onDisconnect);
+    socket.on('error', onDisconnect);
+    socket.on('close', onDisconnect);
   }
 
-  #receive(incoming: IncomingMessage, outgoing: ServerResponse): void {
+  #readRequest(incoming: IncomingMessage, outgoing: ServerResponse): void {
     const chunks: Buffer[] = [];
     let bytes = 0;
     let refused = false;
     incoming.on('data', (chunk: Buffer) => {
       bytes += chunk.length;
-      if (bytes > this.#bodyBytes && !refused) {
+      if (bytes > this.#maxBodyBytes && !refused) {
         refused = true;
         outgoing.shouldKeepAlive = false;
-        this.#plainAnswer(outgoing, TOO_LARGE, 'the body is too long', null);
+        this.#sendOwnResponse(outgoing, TOO_LARGE, 'the body is too long', null);
       }
       if (!refused) {
         chunks.push(chunk);
@@ -171,19 +171,19 @@
     incoming.on('end', () => {
       if (!refused) {
         const body = bytes === 0 ? null : chunks.length === 1 ? (chunks[0] as Buffer) : Buffer.concat(chunks);
-        this.#arrived(incoming, outgoing, body);
+        this.#addRequest(incoming, outgoing, body);
       }
     });
   }
 
-  #arrived(incoming: IncomingMessage, outgoing: ServerResponse, body: Buffer | null): void {
+  #addRequest(incoming: IncomingMessage, outgoing: ServerResponse, body: Buffer | null): void {
     const { rawHeaders } = incoming;
     const requestId = this.#nextRequestId;
     this.#nextRequestId += 1;
     const attemptId = headerValue(rawHeaders, this.#protocol.attemptId) ?? '';
     const key = this.#readKey(rawHeaders);
     if (key !== null && !(key >= 0 && key <= LAST_KEY)) {
-      this.#plainAnswer(outgoing, BAD_REQUEST, `the key must be a whole number from 0 to ${LAST_KEY}`, null);
+      this.#sendOwnResponse(outgoing, BAD_REQUEST, `the key must be a whole number from 0 to ${LAST_KEY}`, null);
       return;
     }
     const exchange: Exchange = {
@@ -192,36 +192,36 @@
       body,
       attemptId,
       key,
-      isTakenIn: false,
+      isDispatched: false,
       attempt: null,
       attemptNumber: 0,
       isAttemptWaiting: false,
     };
     this.#exchanges.set(requestId, exchange);
-    this.#requestsOf.get(incoming.socket)?.add(requestId);
-    outgoing.on('finish', () => this.#forget(requestId, exchange));
-    const isFirst = this.#isFirstOf(incoming.socket);
-    if (!isFirst && this.#intake.isEmpty && this.#loop.isOnTime()) {
-      // Nothing can lie behind it that is older than the loop's usual delay.
-      this.#takeIn(requestId, this.#loop.readDelay());
+    this.#requestsByConnection.get(incoming.socket)?.add(requestId);
+    outgoing.on('finish', () => this.#removeExchange(requestId, exchange));
+    const isFirst = this.#isFirstRequestOn(incoming.socket);
+    if (!isFirst && this.#arrivals.isEmpty && this.#loop.isOnTime()) {
+      // The caller's disconnect can't lie unread behind this request for longer than the usual delay of the loop.
+      this.#dispatchArrival(requestId, this.#loop.readDelay());
     } else {
-      this.#intake.add(requestId, this.#loop.readDelay(), this.#longestReadDelay(incoming));
+      this.#arrivals.add(requestId, this.#loop.readDelay(), this.#longestReadDelay(incoming));
     }
   }
 
-  /** Whether a connection has had no request before: nobody knows how long it had waited to be accepted. */
-  #isFirstOf(socket: Socket): boolean {
+  /** Returns whether this is the connection's first request. How long the connection had waited to be accepted is unknown then. */
+  #isFirstRequestOn(socket: Socket): boolean {
     const isFirst = !this.#usedConnections.has(socket);
     this.#usedConnections.add(socket);
     return isFirst;
   }
 
-  #takeIn(requestId: number, readDelay: Milliseconds): void {
+  #dispatchArrival(requestId: number, readDelay: Milliseconds): void {
     const exchange = this.#exchanges.get(requestId);
     if (exchange === undefined) {
       return;
     }
-    exchange.isTakenIn = true;
+    exchange.isDispatched = true;
     const { incoming, body, attemptId, key } = exchange;
     const { rawHeaders } = incoming;
     const method = incoming.method ?? 'GET';
@@ -235,7 +235,7 @@
       method,
       host,
       target,
-      callerPatience: this.#readPatience(rawHeaders),
+      callerPatience: this.#readCallerTimeout(rawHeaders),
       key,
       fingerprint: new LazyFingerprint({ method, host, target, credentials, body }),
       readDelay,
@@ -247,33 +247,33 @@
     return text === null ? null : /^\d+$/.test(text) ? Number(text) : Number.NaN;
   }
 
-  #readPatience(rawHeaders: readonly string[]): number | null {
-    const patience = Number(headerValue(rawHeaders, this.#protocol.timeLeft) ?? Number.NaN);
-    return Number.isFinite(patience) && patience >= 0 ? patience : null;
+  #readCallerTimeout(rawHeaders: readonly string[]): number | null {
+    const timeout = Number(headerValue(rawHeaders, this.#protocol.timeLeft) ?? Number.NaN);
+    return Number.isFinite(timeout) && timeout >= 0 ? timeout : null;
   }
 
-  #callerLeft(requestId: number): void {
+  #reportDisconnect(requestId: number): void {
     const exchange = this.#exchanges.get(requestId);
     if (exchange === undefined) {
       return;
     }
-    // The reducer learns this first: an attempt that merely ended would be tried again elsewhere.
-    const { attemptId, isTakenIn } = exchange;
-    this.#dispatch({ kind: 'callerLeft', requestId, attemptId, isTakenIn });
+    // The reducer must learn this before the attempt ends: otherwise it would retry the attempt on another server.
+    const { attemptId, isDispatched } = exchange;
+    this.#dispatch({ kind: 'callerLeft', requestId, attemptId, isTakenIn: isDispatched });
     exchange.attempt?.cancel();
-    this.#forget(requestId, exchange);
+    this.#removeExchange(requestId, exchange);
   }
 
-  #forget(requestId: number, { incoming }: Exchange): void {
+  #removeExchange(requestId: number, { incoming }: Exchange): void {
     this.#exchanges.delete(requestId);
-    this.#requestsOf.get(incoming.socket)?.delete(requestId);
+    this.#requestsByConnection.get(incoming.socket)?.delete(requestId);
   }
 
-  /** Sends an attempt to a server, once all that the caller's connection had received has been read. */
+  /** Sends an attempt to a server, once a recent poll has read everything that the caller's connection had received. */
   forward(effect: ForwardEffect): void {
     const exchange = this.#exchanges.get(effect.requestId);
     if (exchange === undefined) {
-      this.#attemptEnded(effect, { kind: 'notSent', reason: 'the caller left', refused: false });
+      this.#dispatchAttemptEnd(effect, { kind: 'notSent', reason: 'the caller left', refused: false });
       return;
     }
     exchange.attemptNumber = effect.attempt;
@@ -282,15 +282,15 @@
       const isCurrent = exchange.isAttemptWaiting && exchange.attemptNumber === effect.attempt;
       if (isCurrent && this.#exchanges.has(effect.requestId)) {
         exchange.isAttemptWaiting = false;
-        this.#send(effect, exchange);
+        this.#startAttempt(effect, exchange);
       }
     });
   }
 
-  #send(effect: ForwardEffect, exchange: Exchange): void {
+  #startAttempt(effect: ForwardEffect, exchange: Exchange): void {
     const connection = this.#connections.take(effect.address);
     if (connection === null) {
-      this.#attemptEnded(effect, {
+      this.#dispatchAttemptEnd(effect, {
         kind: 'notSent',
         reason: 'too many connections are open',
         refused: false,
@@ -298,40 +298,40 @@
       return;
     }
     const { incoming, body, attemptId } = exchange;
-    const headers = forwardedHeaders(incoming.rawHeaders, this.#notForwarded);
+    const headers = forwardedHeaders(incoming.rawHeaders, this.#removedHeaders);
     headers.push(this.#protocol.timeLeft, String(Math.max(1, Math.floor(effect.timeLeft))));
     headers.push(this.#protocol.expectedServer, instanceOf(effect.server));
     const request = { method: incoming.method ?? 'GET', path: incoming.url ?? '/', headers, body, attemptId };
     const sentAt = PROCESS_CLOCK.now();
     const listener: AttemptListener = {
       noticed: (notice) => this.#dispatch({ kind: 'serverNoticed', server: effect.server, notice }),
-      limitRead: (reading) => this.#limitRead(effect, reading, sentAt),
+      limitRead: (reading) => this.#reportLimit(effect, reading, sentAt),
       finished: (result, reusable) => {
         this.#connections.release(effect.address, connection, reusable);
         if (exchange.attempt === attempt) {
           exchange.attempt = null;
         }
-        this.#attemptEnded(effect, result);
+        this.#dispatchAttemptEnd(effect, result);
       },
     };
-    const sink = this.#sinkFor(exchange);
+    const sink = this.#createSink(exchange);
     const attempt = new Attempt(request, this.#protocol, connection, sink, listener);
     exchange.attempt = attempt;
     attempt.start();
   }
 
-  /** Most answers name no limit: that says something only where there was one. */
-  #limitRead({ server, isLimited }: ForwardEffect, reading: LimitReading, sentAt: Milliseconds): void {
+  /** Reports the limit in a response. Most responses name none, which is reported only if the server had a limit. */
+  #reportLimit({ server, isLimited }: ForwardEffect, reading: LimitReading, sentAt: Milliseconds): void {
     if (reading !== null || isLimited) {
       this.#dispatch({ kind: 'serverLimitRead', server, reading, sentAt });
     }
   }
 
-  #attemptEnded({ requestId, attempt }: ForwardEffect, result: AttemptResult): void {
+  #dispatchAttemptEnd({ requestId, attempt }: ForwardEffect, result: AttemptResult): void {
     this.#dispatch({ kind: 'attemptEnded', requestId, attempt, result });
   }
 
-  #sinkFor({ outgoing }: Exchange): AnswerSink {
+  #createSink({ outgoing }: Exchange): AnswerSink {
     return {
       whole: (status, rawHeaders, body, hasLength) => {
         this.#writeHead(outgoing, status, rawHeaders, hasLength ? body.length : null);
@@ -352,17 +352,17 @@
   #writeHead(outgoing: ServerResponse, status: number, rawHeaders: string[], length: number | null): void {
     const headers = forwardedHeaders(rawHeaders, NO_HEADERS);
     if (length === null) {
-      // Nobody can tell whether it broke off: a length of ours would say that it is complete.
+      // A response without a length may have been cut off. A length or chunked framing added here would mark it as complete.
       outgoing.useChunkedEncodingByDefault = false;
       outgoing.shouldKeepAlive = false;
     } else {
       headers.push('Content-Length', String(length));
     }
-    outgoing.shouldKeepAlive &&= !this.#closing;
+    outgoing.shouldKeepAlive &&= !this.#isClosing;
     outgoing.writeHead(status, headers);
   }
 
-  /** Gives an attempt up. */
+  /** Cancels an attempt. */
   cancel(effect: CancelEffect): void {
     const exchange = this.#exchanges.get(effect.requestId);
     if (exchange?.attemptNumber === effect.attempt) {
@@ -371,7 +371,7 @@
     }
   }
 
-  /** Takes an attempt back unless it has been sent. */
+  /** Cancels an attempt that has not been sent yet. */
   withdraw(effect: WithdrawEffect): void {
     const exchange = this.#exchanges.get(effect.requestId);
     if (exchange?.attemptNumber !== effect.attempt) {
@@ -386,15 +386,15 @@
     exchange.attempt?.withdraw();
   }
 
-  /** Answers a caller without a server. */
+  /** Sends a response that the daemon itself produces. */
   answer(effect: AnswerEffect): void {
     const exchange = this.#exchanges.get(effect.requestId);
     if (exchange !== undefined) {
-      this.#plainAnswer(exchange.outgoing, effect.status, effect.reason, effect.retryAfter);
+      this.#sendOwnResponse(exchange.outgoing, effect.status, effect.reason, effect.retryAfter);
     }
   }
 
-  #plainAnswer(outgoing: ServerResponse, status: number, reason: string, retryAfter: number | null): void {
+  #sendOwnResponse(outgoing: ServerResponse, status: number, reason: string, retryAfter: number | null): void {
     if (outgoing.headersSent || outgoing.destroyed) {
       return;
     }
@@ -403,7 +403,7 @@
     if (retryAfter !== null) {
       headers.push('Retry-After', (retryAfter / MILLISECONDS_PER_SECOND).toFixed(3));
     }
-    outgoing.shouldKeepAlive &&= !this.#closing;
+    outgoing.shouldKeepAlive &&= !this.#isClosing;
     outgoing.writeHead(status, headers);
     outgoing.end(body);
   }
--- a/src/router-runtime/event-log.ts
+++ b/src/router-runtime/event-log.ts
@@ -1,6 +1,6 @@
 /**
- * The log of a daemon: one JSON object a line on standard output, by the `consola` library. Lines wait in a
- * bounded buffer and are written without waiting for the reader; what does not fit is counted and said.
+ * A daemon's log: one JSON object per line on standard output, through the `consola` library. Lines are kept in a bounded
+ * buffer and written asynchronously, so that a slow reader never blocks the daemon. Dropped lines are counted, and their number is logged.
  */
 import { createConsola, type ConsolaInstance } from 'consola/core';
 import { write } from 'node:fs';
@@ -11,11 +11,11 @@
 const STANDARD_OUTPUT = 1;
 const LARGEST_BUFFER_CHARACTERS = 512 * 1024;
 const FLUSH_INTERVAL_MILLISECONDS = 100;
-/** Lines in one second beyond which routine ones are dropped. */
+/** Lines of level `info` beyond this number are dropped until the next second. */
 const MOST_LINES_PER_SECOND = 400;
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** A line as the reporter gets it. */
+/** A log entry as `consola` passes it to a reporter. */
 interface LogEntry {
   readonly type: string;
   readonly args: unknown[];
@@ -25,27 +25,27 @@
   readonly #daemon: string;
   readonly #counters: RouterCounters;
   readonly #consola: ConsolaInstance;
-  #lines: string[] = [];
-  #characters = 0;
-  #writing = false;
-  #timer: NodeJS.Timeout | undefined;
-  #second = 0;
-  #linesInSecond = 0;
-  #dropped = 0;
+  #bufferedLines: string[] = [];
+  #bufferedCharacters = 0;
+  #isWriting = false;
+  #flushTimer: NodeJS.Timeout | undefined;
+  #currentSecond = 0;
+  #infoLinesInSecond = 0;
+  #droppedLines = 0;
 
   constructor(daemon: string, counters: RouterCounters) {
     this.#daemon = daemon;
     this.#counters = counters;
     this.#consola = createConsola({
-      reporters: [{ log: (entry: LogEntry) => this.#append(entry) }],
+      reporters: [{ log: (entry: LogEntry) => this.#appendLine(entry) }],
       throttle: 0,
     });
   }
 
-  /** Writes one event. Warnings are kept when routine lines are dropped. */
+  /** Logs one event. Only lines of level `info` may be dropped. */
   event(level: 'info' | 'warn', event: LogEventName, fields: Record<string, unknown>): void {
     if (level === 'info' && !this.#hasRoom()) {
-      this.#dropped += 1;
+      this.#droppedLines += 1;
       this.#counters.log_lines_dropped += 1;
       return;
     }
@@ -54,69 +54,69 @@
 
   #hasRoom(): boolean {
     const second = Math.floor(PROCESS_CLOCK.now() / MILLISECONDS_PER_SECOND);
-    if (second !== this.#second) {
-      this.#second = second;
-      this.#linesInSecond = 0;
-      this.#sayDropped();
+    if (second !== this.#currentSecond) {
+      this.#currentSecond = second;
+      this.#infoLinesInSecond = 0;
+      this.#logDroppedLines();
     }
-    this.#linesInSecond += 1;
-    return this.#linesInSecond <= MOST_LINES_PER_SECOND && this.#characters < LARGEST_BUFFER_CHARACTERS;
+    this.#infoLinesInSecond += 1;
+    return this.#infoLinesInSecond <= MOST_LINES_PER_SECOND && this.#bufferedCharacters < LARGEST_BUFFER_CHARACTERS;
   }
 
-  #sayDropped(): void {
-    if (this.#dropped > 0) {
-      const lines = this.#dropped;
-      this.#dropped = 0;
+  #logDroppedLines(): void {
+    if (this.#droppedLines > 0) {
+      const lines = this.#droppedLines;
+      this.#droppedLines = 0;
       this.event('warn', 'log_lines_dropped', { lines });
     }
   }
 
-  #append(entry: LogEntry): void {
+  #appendLine(entry: LogEntry): void {
     const [event, fields] = entry.args as [LogEventName, Record<string, unknown>];
-    const at = Math.round(PROCESS_CLOCK.now());
+    const uptime = Math.round(PROCESS_CLOCK.now());
     const head = {
       time: new Date().toISOString(),
-      uptime_ms: at,
+      uptime_ms: uptime,
       level: entry.type,
       daemon: this.#daemon,
       event,
     };
     const line = `${JSON.stringify({ ...head, ...fields })}\n`;
-    this.#lines.push(line);
-    this.#characters += line.length;
-    this.#timer ??= setTimeout(() => this.#flush(), FLUSH_INTERVAL_MILLISECONDS);
+    this.#bufferedLines.push(line);
+    this.#bufferedCharacters += line.length;
+    this.#flushTimer ??= setTimeout(() => this.#flush(), FLUSH_INTERVAL_MILLISECONDS);
   }
 
   #flush(): void {
-    this.#timer = undefined;
-    if (this.#writing || this.#lines.length === 0) {
+    this.#flushTimer = undefined;
+    if (this.#isWriting || this.#bufferedLines.length === 0) {
       return;
     }
-    const text = this.#lines.join('');
-    this.#lines = [];
-    this.#characters = 0;
+    const text = this.#bufferedLines.join('');
+    this.#bufferedLines = [];
+    this.#bufferedCharacters = 0;
     this.#writeAll(Buffer.from(text));
   }
 
   #writeAll(bytes: Buffer): void {
-    this.#writing = true;
+    this.#isWriting = true;
     write(STANDARD_OUTPUT, bytes, (error, written) => {
-      this.#writing = false;
+      this.#isWriting = false;
       if (error === null && written < bytes.length) {
         this.#writeAll(bytes.subarray(written));
-      } else if (this.#lines.length > 0) {
-        this.#timer ??= setTimeout(() => this.#flush(), FLUSH_INTERVAL_MILLISECONDS);
+      } else if (this.#bufferedLines.length > 0) {
+        this.#flushTimer ??= setTimeout(() => this.#flush(), FLUSH_INTERVAL_MILLISECONDS);
       }
     });
   }
 
-  /** Writes what waits, and ends when the reader has it or after a moment. */
+  /** Writes the buffered lines. Returns when they are written, or after one and a half flush intervals. */
   async close(): Promise<void> {
-    const patience = 3;
-    for (let round = 0; round < patience; round += 1) {
-      clearTimeout(this.#timer);
+    const maxRounds = 3;
+    for (let round = 0; round < maxRounds; round += 1) {
+      clearTimeout(this.#flushTimer);
       this.#flush();
-      if (!this.#writing) {
+      if (!this.#isWriting) {
         return;
       }
       await new Promise((resolve) => setTimeout(resolve, FLUSH_INTERVAL_MILLISECONDS / 2));
--- a/src/router-runtime/headers.ts
+++ b/src/router-runtime/headers.ts
@@ -1,38 +1,38 @@
-/** Raw header lists: name, value, name, value. */
+/** Helpers for raw header lists, in which names and values alternate. */
 import { HOP_BY_HOP_HEADERS } from '../wire/headers.js';
 
-/** Headers that describe the length of a body on one connection. */
+/** Headers that concern how a body is transferred on one connection. */
 const FRAMING_HEADERS: ReadonlySet<string> = new Set(['content-length', 'expect']);
 
-/** The names that a `Connection` header takes with it, in lower case. */
-function namedByConnection(raw: readonly string[]): Set<string> {
-  const named = new Set<string>();
+/** Returns the header names that `Connection` headers list as hop-by-hop, in lower case. */
+function listedInConnection(raw: readonly string[]): Set<string> {
+  const hopByHop = new Set<string>();
   for (let index = 0; index < raw.length; index += 2) {
     if ((raw[index] as string).toLowerCase() === 'connection') {
       for (const name of (raw[index + 1] as string).split(',')) {
-        named.add(name.trim().toLowerCase());
+        hopByHop.add(name.trim().toLowerCase());
       }
     }
   }
-  return named;
+  return hopByHop;
 }
 
-/** The headers that go on to the next connection, without some. */
-export function forwardedHeaders(raw: readonly string[], without: ReadonlySet<string>): string[] {
-  const named = namedByConnection(raw);
+/** Returns the end-to-end headers to forward, except those in `excluded` (lower case) and those that describe the body's transfer. */
+export function forwardedHeaders(raw: readonly string[], excluded: ReadonlySet<string>): string[] {
+  const hopByHop = listedInConnection(raw);
   const kept: string[] = [];
   for (let index = 0; index < raw.length; index += 2) {
     const name = (raw[index] as string).toLowerCase();
-    const dropped =
-      HOP_BY_HOP_HEADERS.has(name) || FRAMING_HEADERS.has(name) || without.has(name) || named.has(name);
-    if (!dropped) {
+    const isDropped =
+      HOP_BY_HOP_HEADERS.has(name) || FRAMING_HEADERS.has(name) || excluded.has(name) || hopByHop.has(name);
+    if (!isDropped) {
       kept.push(raw[index] as string, raw[index + 1] as string);
     }
   }
   return kept;
 }
 
-/** The first value of a header, or null. */
+/** Returns the first value of a header, whose name is given in lower case, or null. */
 export function headerValue(raw: readonly string[], name: string): string | null {
   for (let index = 0; index < raw.length; index += 2) {
     if ((raw[index] as string).toLowerCase() === name) {
--- a/src/router-runtime/lazy-fingerprint.ts
+++ b/src/router-runtime/lazy-fingerprint.ts
@@ -1,15 +1,15 @@
-/** Fingerprints of callers' requests, by Node's own SHA-256. */
+/** Fingerprints of callers' requests, computed with Node's SHA-256. */
 import { createHash } from 'node:crypto';
 import { HEAD_CHARACTERS, type RequestFingerprint } from '../router/model/request-fingerprint.js';
 
-/** What a fingerprint is made of. */
+/** The parts of a request that its fingerprint covers. */
 export interface FingerprintParts {
   readonly method: string;
   readonly host: string;
   readonly target: string;
   /**
-   * The caller's credentials, or null where it sends none. Its address is no part: servers never see it, and with it the ends under one
-   * request that came from several zones did not add up.
+   * The caller's credentials, or null if it sends none. The caller's address is left out: servers never see it, and with it the same
+   * request arriving in several zones would have several fingerprints, so that the server crashes it causes would not be counted together.
    */
   readonly credentials: string | null;
   readonly body: Buffer | null;
@@ -20,15 +20,15 @@
 }
 
 /**
- * Digests on first use: only requests whose head is suspected pay for their bodies.
+ * Computes each digest on first use, so that a body is hashed only if the head of its request is under suspicion.
  *
  * @example
  * new LazyFingerprint({ method: 'GET', host: 'h.example', target: '/a', credentials: null, body: null }).value;
  */
 export class LazyFingerprint implements RequestFingerprint {
   readonly #parts: FingerprintParts;
-  #head: string | null = null;
-  #body: string | null = null;
+  #headDigest: string | null = null;
+  #bodyDigest: string | null = null;
 
   constructor(parts: FingerprintParts) {
     this.#parts = parts;
@@ -36,12 +36,12 @@
 
   get head(): string {
     const { method, host, target, credentials, body } = this.#parts;
-    this.#head ??= digest(JSON.stringify([method, host, target, credentials, body?.length ?? 0]));
-    return this.#head;
+    this.#headDigest ??= digest(JSON.stringify([method, host, target, credentials, body?.length ?? 0]));
+    return this.#headDigest;
   }
 
   get value(): string {
-    this.#body ??= digest(this.#parts.body ?? '');
-    return this.head + this.#body;
+    this.#bodyDigest ??= digest(this.#parts.body ?? '');
+    return this.head + this.#bodyDigest;
   }
 }
--- a/src/router-runtime/listen.ts
+++ b/src/router-runtime/listen.ts
@@ -1,8 +1,8 @@
-/** Opening a port. */
+/** Opens listening sockets. */
 import type { Server } from 'node:net';
 import { splitAddress } from '../settings/address.js';
 
-/** Listens at `ip:port`. Rejects when the address is taken. */
+/** Listens on `ip:port`. Rejects when the address is in use. */
 export function listen(server: Server, address: string): Promise<void> {
   const { host, port } = splitAddress(address);
   return new Promise((resolve, reject) => {
--- a/src/router-runtime/loop-monitor.ts
+++ b/src/router-runtime/loop-monitor.ts
@@ -1,126 +1,126 @@
 /**
- * How far the daemon's event loop is behind, seen by how late its regular tick is, and which events its time goes into. What a socket
- * receives while the loop is busy waits there unread.
+ * Measures how far the daemon's event loop is behind, by how late its regular tick runs, and how much time the loop spends on each kind of
+ * event. Data that a socket receives while the loop is busy waits unread in the socket.
  */
 import type { RouterEvent } from '../router/events.js';
 import type { Milliseconds } from '../router/model/identifiers.js';
 
-/** Delays up to this are those of a loop that is on time. */
+/** A loop whose tick is late by no more than this counts as on time. */
 const USUAL_DELAY: Milliseconds = 10;
-/** Ticks after a suspension until the sockets have been polled: the first may come before that. */
+/** Ticks after a suspension until the sockets have surely been polled: the first tick may run before that poll. */
 const TICKS_AFTER_SUSPENSION = 2;
-/** A tick that is this late begins a spell in which the daemon counts as behind. */
+/** A tick that is this late begins a period in which the loop is reported as behind. */
 const BEHIND: Milliseconds = 100;
-/** The spell ends when no tick has been this late for {@link CALM}. */
+/** The period ends when no tick has been this late for {@link CAUGHT_UP_TIME}. */
 const ON_TIME: Milliseconds = 50;
 const CALM: Milliseconds = 1_000;
-/** Kinds of events that are named at the end of a spell. */
+/** The number of event kinds that are reported at the end of the period. */
 const MOST_NAMED = 4;
 
 export type EventKind = RouterEvent['kind'];
 
-/** A spell in which the loop was behind. */
+/** A period in which the loop was behind. */
 export interface LoopSpell {
-  /** The latest tick was late by this much. */
+  /** The largest delay of a tick. */
   readonly longest: Milliseconds;
   readonly lasted: Milliseconds;
-  /** The kinds of events that took most time, in milliseconds. */
+  /** Handling time of the event kinds that took most of it, in milliseconds. */
   readonly busiest: Readonly<Partial<Record<EventKind, Milliseconds>>>;
 }
 
 export interface LoopMonitorListener {
-  /** Of each tick. */
+  /** Receives the delay of each tick. */
   delayed(delay: Milliseconds): void;
-  /** A spell begins. */
+  /** The loop has fallen behind. */
   fellBehind(delay: Milliseconds): void;
-  /** It has ended. */
-  caughtUp(spell: LoopSpell): void;
+  /** The loop is on time again. */
+  caughtUp(period: LoopSpell): void;
 }
 
 export class LoopMonitor {
-  /** Time that events of each kind have taken since the start, in milliseconds. */
+  /** Total handling time of each kind of event since the start, in milliseconds. */
   readonly eventTimes = new Map<EventKind, Milliseconds>();
   readonly #interval: Milliseconds;
   readonly #listener: LoopMonitorListener;
-  #tickedAt: Milliseconds | null = null;
+  #lastTickAt: Milliseconds | null = null;
   #delay: Milliseconds = 0;
-  /** The machine was suspended for this long, and the sockets may not have been polled since. */
-  #suspended: Milliseconds = 0;
+  /** Length of the last suspension of the machine. The sockets may not have been polled since. */
+  #suspensionLength: Milliseconds = 0;
   #ticksUntilPolled = 0;
   #behindSince: Milliseconds | null = null;
   #lastLateAt: Milliseconds = 0;
-  #longest: Milliseconds = 0;
-  #timesBefore: ReadonlyMap<EventKind, Milliseconds> = new Map();
+  #longestDelay: Milliseconds = 0;
+  #handlingTimesAtStart: ReadonlyMap<EventKind, Milliseconds> = new Map();
 
-  /** @param interval between two ticks */
+  /** @param interval milliseconds between two ticks */
   constructor(interval: Milliseconds, listener: LoopMonitorListener) {
     this.#interval = interval;
     this.#listener = listener;
   }
 
-  /** The regular tick begins. */
+  /** Records that the regular tick runs. */
   noteTick(now: Milliseconds): void {
-    this.#delay = this.#tickedAt === null ? 0 : Math.max(0, now - this.#tickedAt - this.#interval);
-    this.#tickedAt = now;
+    this.#delay = this.#lastTickAt === null ? 0 : Math.max(0, now - this.#lastTickAt - this.#interval);
+    this.#lastTickAt = now;
     this.#ticksUntilPolled = Math.max(0, this.#ticksUntilPolled - 1);
     this.#listener.delayed(this.#delay);
     if (this.#delay >= BEHIND) {
-      this.#noteLate(now);
+      this.#recordLateTick(now);
     }
     if (this.#delay >= ON_TIME) {
       this.#lastLateAt = now;
     } else if (this.#behindSince !== null && now - this.#lastLateAt >= CALM) {
-      this.#endSpell(this.#behindSince);
+      this.#endPeriod(this.#behindSince);
     }
   }
 
-  /** The machine was suspended: what came meanwhile lies unread, whether or not the clock has counted that time. */
+  /** Records a suspension of the machine: data received during it is unread, whether or not the clock has counted that time. */
   noteSuspension(length: Milliseconds): void {
-    this.#suspended = length;
+    this.#suspensionLength = length;
     this.#ticksUntilPolled = TICKS_AFTER_SUSPENSION;
   }
 
-  /** An event was handled. */
+  /** Records that an event was handled. */
   noteEvent(kind: EventKind, duration: Milliseconds): void {
     this.eventTimes.set(kind, (this.eventTimes.get(kind) ?? 0) + duration);
   }
 
-  /** The longest that anything read now can have waited unread, known to one interval. */
+  /** Returns how long data that is read now may have waited unread, at most. The result is accurate to one tick interval. */
   unreadFor(now: Milliseconds): Milliseconds {
-    const sinceTick = this.#tickedAt === null ? 0 : Math.max(0, now - this.#tickedAt - this.#interval);
+    const sinceTick = this.#lastTickAt === null ? 0 : Math.max(0, now - this.#lastTickAt - this.#interval);
     const delay = this.#delay + sinceTick;
-    return this.#ticksUntilPolled > 0 ? Math.max(delay, this.#suspended) : delay;
+    return this.#ticksUntilPolled > 0 ? Math.max(delay, this.#suspensionLength) : delay;
   }
 
-  /** Whether the loop has polled its sockets within the last two intervals or so. */
+  /** Returns whether the loop has polled its sockets within about the last two tick intervals. */
   isOnTime(now: Milliseconds): boolean {
     return this.unreadFor(now) <= USUAL_DELAY;
   }
 
-  #noteLate(now: Milliseconds): void {
-    this.#longest = Math.max(this.#longest, this.#delay);
+  #recordLateTick(now: Milliseconds): void {
+    this.#longestDelay = Math.max(this.#longestDelay, this.#delay);
     if (this.#behindSince === null) {
       this.#behindSince = now - this.#delay;
-      this.#timesBefore = new Map(this.eventTimes);
+      this.#handlingTimesAtStart = new Map(this.eventTimes);
       this.#listener.fellBehind(this.#delay);
     }
   }
 
-  #endSpell(since: Milliseconds): void {
+  #endPeriod(since: Milliseconds): void {
     this.#listener.caughtUp({
-      longest: this.#longest,
+      longest: this.#longestDelay,
       lasted: this.#lastLateAt - since,
-      busiest: this.#busiestSince(this.#timesBefore),
+      busiest: this.#busiestEventsSince(this.#handlingTimesAtStart),
     });
     this.#behindSince = null;
-    this.#longest = 0;
+    this.#longestDelay = 0;
   }
 
-  #busiestSince(before: ReadonlyMap<EventKind, Milliseconds>): LoopSpell['busiest'] {
-    const grown = [...this.eventTimes].map(
-      ([kind, time]) => [kind, Math.round(time - (before.get(kind) ?? 0))] as const,
+  #busiestEventsSince(handlingTimesAtStart: ReadonlyMap<EventKind, Milliseconds>): LoopSpell['busiest'] {
+    const increases = [...this.eventTimes].map(
+      ([kind, time]) => [kind, Math.round(time - (handlingTimesAtStart.get(kind) ?? 0))] as const,
     );
-    grown.sort(([, left], [, right]) => right - left);
-    return Object.fromEntries(grown.slice(0, MOST_NAMED));
+    increases.sort(([, left], [, right]) => right - left);
+    return Object.fromEntries(increases.slice(0, MOST_NAMED));
   }
 }
--- a/src/router-runtime/object-feed.ts
+++ b/src/router-runtime/object-feed.ts
@@ -1,113 +1,114 @@
 /**
- * Follows a list in the platform while it is wanted: lists it, watches it, and lists anew when the watch lost its place.
+ * Follows a list of objects in the store: lists it, then watches it for changes, and lists it again when the watch can't be continued
+ * from the last known revision.
  */
 import type { Milliseconds } from '../router/model/identifiers.js';
 import type { EndCall, FeedChange, FeedSource, ListOutcome, WatchOutcome } from '../router/ports.js';
 import type { CancelTimer, Timers } from './timers.js';
 import { WatchPacing } from './watch-pacing.js';
 
-/** Between the ends of two calls that fail, at least. */
+/** The shortest delay from the end of a failed call to the start of the next one. */
 const FIRST_RETRY: Milliseconds = 100;
 /**
- * Between the starts of two calls that fail, at most: an entry that lapsed in an outage is back 2 s after it, and a call
- * that the store got while it was away is never answered.
+ * The longest interval between the starts of two failing calls. An entry that expired during an outage of the store is back in the list
+ * 2 s after the outage, and the store never answers a call that it received during the outage.
  */
 const LONGEST_RETRY: Milliseconds = 1_500;
 
-/** A call that ended without an answer that can be used. */
+/** A call that ended without a usable response. */
 export interface FeedFailure {
   readonly call: 'list' | 'watch';
-  /** How long it took until it was given up. */
+  /** Time from the start of the call until it failed. */
   readonly waited: Milliseconds;
   readonly reason: string;
 }
 
-/** Time as a feed needs it. */
+/** Timers and timeouts of a feed. */
 export interface FeedTiming {
   readonly timers: Timers;
-  /** How long a watch waits for changes. */
+  /** Returns how long a watch waits for changes. */
   readonly watchTime: () => Milliseconds;
 }
 
-/** What a feed tells its owner. */
+/** Receives the contents of a feed and the outcomes of its calls. */
 export interface FeedListener<Item> {
   onList(items: readonly FeedChange<Item>[], revision: number): void;
   onChanges(changes: readonly FeedChange<Item>[], revision: number): void;
-  /** The store answered a call. */
+  /** The store responded to a call. */
   onAnswer(): void;
-  /** A call ended without an answer that can be used. */
+  /** A call ended without a usable response. */
   onFailure(failure: FeedFailure): void;
 }
 
-interface CallUnderWay {
+interface ActiveCall {
   readonly kind: FeedFailure['call'];
   readonly startedAt: Milliseconds;
-  end: EndCall;
+  cancel: EndCall;
 }
 
 export class ObjectFeed<Item> {
   readonly #source: FeedSource<Item>;
   readonly #listener: FeedListener<Item>;
   readonly #timers: Timers;
-  readonly #watchTime: () => Milliseconds;
+  readonly #watchTimeout: () => Milliseconds;
   readonly #pacing = new WatchPacing();
-  /** Everything up to here is known; null: nothing is. */
+  /** All changes up to this revision are known; null if the next call must list everything. */
   #revision: number | null = null;
-  #wanted = false;
-  #refreshWanted = false;
-  #closed = false;
-  #failures = 0;
-  #call: CallUnderWay | null = null;
+  #isFollowed = false;
+  #isRefreshPending = false;
+  #isClosed = false;
+  #consecutiveFailures = 0;
+  #call: ActiveCall | null = null;
   #cancelPause: CancelTimer | null = null;
 
   constructor(source: FeedSource<Item>, listener: FeedListener<Item>, timing: FeedTiming) {
     this.#source = source;
     this.#listener = listener;
     this.#timers = timing.timers;
-    this.#watchTime = timing.watchTime;
+    this.#watchTimeout = timing.watchTime;
   }
 
-  /** Begins to follow the list after a revision up to which everything is known; null: nothing is. */
+  /** Starts to follow the list. All changes up to `revision` are known already; null if there is no such revision. */
   begin(revision: number | null): void {
-    this.#wanted = true;
+    this.#isFollowed = true;
     this.#revision = revision ?? this.#revision;
-    this.#proceed();
+    this.#startNextCall();
   }
 
-  /** Follows the list no more. A watch that waits goes on waiting: it is paid for, and its news are taken. */
+  /** Stops following the list. A watch in flight continues and its changes are reported, since its cost has been paid. */
   cease(): void {
-    this.#wanted = false;
+    this.#isFollowed = false;
   }
 
-  /** Lists anew at once: what is known may be old. */
+  /** Lists again at once, because the known contents may be stale. */
   refresh(): void {
-    this.#refreshWanted = true;
+    this.#isRefreshPending = true;
     this.#revision = null;
     if (this.#call?.kind === 'watch') {
-      this.#endCall();
+      this.#cancelCall();
     }
-    this.#proceed();
+    this.#startNextCall();
   }
 
-  /** Ends the feed. */
+  /** Cancels the call in flight and makes no more calls. */
   close(): void {
-    this.#closed = true;
-    this.#endCall();
+    this.#isClosed = true;
+    this.#cancelCall();
     this.#cancelPause?.();
   }
 
-  #endCall(): void {
-    this.#call?.end();
+  #cancelCall(): void {
+    this.#call?.cancel();
     this.#call = null;
   }
 
-  /** Makes the next call, unless one is under way or its time has not come. */
-  #proceed(): void {
+  /** Starts the next call, unless a call is in flight or the pause before the next one has not passed. */
+  #startNextCall(): void {
     const isIdle = this.#call === null && this.#cancelPause === null;
-    if (this.#closed || !isIdle || !(this.#wanted || this.#refreshWanted)) {
+    if (this.#isClosed || !isIdle || !(this.#isFollowed || this.#isRefreshPending)) {
       return;
     }
-    this.#refreshWanted = false;
+    this.#isRefreshPending = false;
     if (this.#revision === null) {
       this.#list();
     } else {
@@ -116,74 +117,74 @@
   }
 
   #list(): void {
-    const call = this.#begin('list');
-    call.end = this.#source.list((outcome) => this.#receiveList(call, outcome));
+    const call = this.#startCall('list');
+    call.cancel = this.#source.list((outcome) => this.#receiveList(call, outcome));
   }
 
   #watch(revision: number): void {
-    const call = this.#begin('watch');
-    // A store never answers a watch that came while it was away, nor one whose connection went silent: a long one would let changes
-    // come into force late on all daemons.
-    call.end = this.#source.watch(revision, this.#watchTime(), (outcome) =>
+    const call = this.#startCall('watch');
+    // The store never answers a watch that it received during an outage or whose connection has gone dead. With a long timeout, changes
+    // would take effect late on all daemons.
+    call.cancel = this.#source.watch(revision, this.#watchTimeout(), (outcome) =>
       this.#receiveWatch(call, outcome),
     );
   }
 
-  #begin(kind: FeedFailure['call']): CallUnderWay {
-    const call = { kind, startedAt: this.#timers.now(), end: () => undefined };
+  #startCall(kind: FeedFailure['call']): ActiveCall {
+    const call = { kind, startedAt: this.#timers.now(), cancel: () => undefined };
     this.#call = call;
     return call;
   }
 
-  #receiveList(call: CallUnderWay, outcome: ListOutcome<Item>): void {
+  #receiveList(call: ActiveCall, outcome: ListOutcome<Item>): void {
     this.#call = null;
     if (outcome.kind === 'failed') {
-      this.#noteFailure(call, outcome.reason);
+      this.#recordFailure(call, outcome.reason);
       return;
     }
     this.#revision = outcome.revision;
     this.#listener.onList(outcome.items, outcome.revision);
-    this.#noteAnswer(call);
+    this.#recordResponse(call);
   }
 
-  #receiveWatch(call: CallUnderWay, outcome: WatchOutcome<Item>): void {
+  #receiveWatch(call: ActiveCall, outcome: WatchOutcome<Item>): void {
     this.#call = null;
     if (outcome.kind === 'changes') {
-      // A watch without changes moves nothing: a store that is about to forget its history may have kept some back.
+      // A watch without changes doesn't advance the revision: a store that is about to discard its history may have withheld changes.
       if (outcome.changes.length > 0) {
         this.#revision = Math.max(this.#revision ?? 0, outcome.revision);
         this.#listener.onChanges(outcome.changes, outcome.revision);
       }
-      this.#noteAnswer(call);
+      this.#recordResponse(call);
       return;
     }
-    // The list says what the watch may have missed.
+    // The next call lists everything, including the changes that the watch may have missed.
     this.#revision = null;
     if (outcome.kind === 'forgotten') {
-      this.#noteAnswer(call);
+      this.#recordResponse(call);
     } else {
-      this.#noteFailure(call, outcome.reason);
+      this.#recordFailure(call, outcome.reason);
     }
   }
 
-  #noteAnswer({ startedAt }: CallUnderWay): void {
-    this.#failures = 0;
+  #recordResponse({ startedAt }: ActiveCall): void {
+    this.#consecutiveFailures = 0;
     this.#listener.onAnswer();
-    this.#pause(this.#pacing.next(this.#timers.now() - startedAt));
+    this.#schedulePause(this.#pacing.next(this.#timers.now() - startedAt));
   }
 
-  #noteFailure({ kind, startedAt }: CallUnderWay, reason: string): void {
-    this.#failures += 1;
+  #recordFailure({ kind, startedAt }: ActiveCall, reason: string): void {
+    this.#consecutiveFailures += 1;
     const waited = this.#timers.now() - startedAt;
     this.#listener.onFailure({ call: kind, waited, reason });
-    const delay = Math.min(LONGEST_RETRY, FIRST_RETRY * 2 ** (this.#failures - 1));
-    this.#pause(Math.max(FIRST_RETRY, Math.min(delay, LONGEST_RETRY - waited)));
+    const delay = Math.min(LONGEST_RETRY, FIRST_RETRY * 2 ** (this.#consecutiveFailures - 1));
+    this.#schedulePause(Math.max(FIRST_RETRY, Math.min(delay, LONGEST_RETRY - waited)));
   }
 
-  #pause(delay: Milliseconds): void {
+  #schedulePause(delay: Milliseconds): void {
     this.#cancelPause = this.#timers.after(delay, () => {
       this.#cancelPause = null;
-      this.#proceed();
+      this.#startNextCall();
     });
   }
 }
--- a/src/router-runtime/peer-codec.ts
+++ b/src/router-runtime/peer-codec.ts
@@ -1,4 +1,4 @@
-/** Turns messages between daemons into bytes and back, by the generated protobuf codec. */
+/** Encodes and decodes messages between daemons with the generated protobuf codec. */
 import { err, ok, type Result } from 'neverthrow';
 import { deflateRawSync, inflateRawSync } from 'node:zlib';
 import protobuf from 'protobufjs/minimal.js';
@@ -7,19 +7,19 @@
 import type { PeerMessage } from '../router/peers/messages.js';
 import { router } from '../wire/generated/router.js';
 
-// Without the Long type the library reads 64-bit numbers as plain ones.
+// Without the Long type the library decodes 64-bit integers as plain numbers.
 (protobuf.util as { Long: unknown }).Long = undefined;
 protobuf.configure();
 
 const TO_OBJECT = { defaults: true, arrays: true, oneofs: true } as const;
-/** Shorter frames are not worth the time to deflate them. */
+/** Shorter frames are sent uncompressed: deflating them would cost more time than it saves. */
 const DEFLATED_FROM_BYTES = 4_096;
-/** A frame that is longer than this once inflated is nonsense. */
+/** A frame that inflates to more than this is rejected as malformed. */
 const LARGEST_INFLATED_BYTES = 16 * 1024 * 1024;
-/** Lists of servers and configurations repeat themselves: the quickest level finds nearly all of it. */
+/** Server lists and configurations are so repetitive that the fastest level finds nearly all of the repetition. */
 const DEFLATE_LEVEL = 1;
 
-/** A configuration as it travels: its services are a list. */
+/** Converts a message to its wire form, in which the services of a configuration are a list instead of a map. */
 function toWire(message: PeerMessage): object {
   if (message.kind !== 'configurationNews') {
     return message;
@@ -28,6 +28,7 @@
   return { revision, configuration: { ...configuration, services: [...configuration.services.values()] } };
 }
 
+/** A configuration in wire form. */
 type WireConfiguration = Omit<Configuration, 'services'> & { readonly services: Service[] };
 
 function fromWire(kind: string, fields: object): PeerMessage {
@@ -39,7 +40,7 @@
   return { kind, revision, configuration: { ...configuration, services } };
 }
 
-/** The bytes of a message. */
+/** Returns a message as a protobuf frame, deflated if it is long. */
 export function encodePeerMessage(message: PeerMessage): Uint8Array {
   const bytes = router.Frame.encode({ [message.kind]: toWire(message) } as router.IFrame).finish();
   if (bytes.length < DEFLATED_FROM_BYTES) {
@@ -57,7 +58,7 @@
     : frame;
 }
 
-/** The message in some bytes, or an error that names the peer the bytes came from. */
+/** Decodes a frame. An error names `peer`, the daemon that sent the bytes. */
 export function decodePeerMessage(bytes: Uint8Array, peer: string): Result<PeerMessage, WireError> {
   try {
     const decoded = decodeFrame(bytes);
--- a/src/router-runtime/peer-links.ts
+++ b/src/router-runtime/peer-links.ts
@@ -1,6 +1,6 @@
 /**
- * Connections between daemons: each child holds one to its parent; messages go both ways on it, as protobuf frames with
- * a length before each. Delivery is best effort.
+ * Connections between daemons in the propagation tree. Each child keeps one connection to its parent; messages travel both ways on it
+ * as length-prefixed protobuf frames. Delivery is best effort.
  */
 import { createConnection, createServer, type Server, type Socket } from 'node:net';
 import { PROCESS_BARRIER } from '../event-loop/poll-barrier.js';
@@ -11,22 +11,22 @@
 import { decodePeerMessage, encodePeerMessage } from './peer-codec.js';
 
 const LENGTH_BYTES = 4;
-/** A peer that takes nothing off its connection is cut off at this backlog. */
+/** The connection to a peer that doesn't read is closed when more than this is queued for it. */
 const LARGEST_BACKLOG_BYTES = 1024 * 1024;
 const RECONNECT_MILLISECONDS = 150;
 const CONNECT_TIMEOUT_MILLISECONDS = 600;
-/** A connection to a parent that says nothing for this long is made anew. */
+/** A connection to a parent on which nothing arrives for this long is closed and opened again. */
 const SILENCE_MILLISECONDS = 1_500;
 
-/** What the links tell their owner. */
+/** Receives messages and changes of connections. */
 export interface PeerLinksListener {
   onMessage(link: number, message: PeerMessage): void;
-  /** A child's connection ended. */
+  /** The connection to a child was closed. */
   onLeft(link: number): void;
-  /** The connection to the parent is up. */
+  /** The connection to the parent was established. */
   onParentOpened(): void;
-  /** The connection to the parent ended or could not be made. */
-  onParentClosed(address: string, refused: boolean): void;
+  /** The connection to the parent was closed or could not be established. */
+  onParentClosed(address: string, isRefused: boolean): void;
   onMalformed(peer: string, detail: string): void;
 }
 
@@ -38,7 +38,7 @@
   return framed;
 }
 
-/** Ends a connection whose time is over, unless it has come up or brought something that had not been read yet. */
+/** Closes a connection that has timed out, unless the next poll shows that it was established or received data in time. */
 function endUnlessAlive(socket: Socket): void {
   const { connecting, bytesRead } = socket;
   PROCESS_BARRIER.afterPoll(() => {
@@ -55,38 +55,38 @@
   #nextLink = 1;
   #parentAddress: string | null = null;
   #parent: Socket | null = null;
-  #reconnect: NodeJS.Timeout | undefined;
-  #closed = false;
+  #reconnectTimer: NodeJS.Timeout | undefined;
+  #isClosed = false;
 
   constructor(listener: PeerLinksListener) {
     this.#listener = listener;
-    this.#server = createServer((socket) => this.#accept(socket));
+    this.#server = createServer((socket) => this.#acceptChild(socket));
   }
 
-  /** Listens for children. Rejects when the address is taken. */
+  /** Listens for children. Rejects when the address is in use. */
   listen(address: string): Promise<void> {
     return listen(this.#server, address);
   }
 
-  /** Keeps a connection to the parent at an address; to none when it is null. */
+  /** Keeps a connection to the parent at an address, or to no parent if it is null. Replaces the former connection. */
   follow(address: string | null): void {
     this.#parentAddress = address;
-    clearTimeout(this.#reconnect);
-    const former = this.#parent;
+    clearTimeout(this.#reconnectTimer);
+    const formerParent = this.#parent;
     this.#parent = null;
-    // What was written to it still goes out: who leads now, for example.
-    former?.destroySoon();
-    this.#connect();
+    // Messages that are queued for the former parent are still sent, such as a notice of the new leader.
+    formerParent?.destroySoon();
+    this.#connectParent();
   }
 
-  /** Sends to the parent, if there is a connection. */
+  /** Sends a message to the parent. Drops it if there is no connection. */
   sendToParent(message: PeerMessage): void {
     if (this.#parent !== null) {
       this.#write(this.#parent, frame(message));
     }
   }
 
-  /** Sends to one child, or to all. */
+  /** Sends a message to the child with this link number, or to all children if it is null. */
   sendToChildren(link: number | null, message: PeerMessage): void {
     const bytes = frame(message);
     if (link !== null) {
@@ -101,10 +101,10 @@
     }
   }
 
-  /** Closes every connection and the port. */
+  /** Closes every connection and the listening socket. */
   close(): void {
-    this.#closed = true;
-    clearTimeout(this.#reconnect);
+    this.#isClosed = true;
+    clearTimeout(this.#reconnectTimer);
     this.#parent?.destroy();
     this.#server.close();
     for (const socket of this.#children.values()) {
@@ -120,15 +120,15 @@
     }
   }
 
-  #connect(): void {
+  #connectParent(): void {
     const address = this.#parentAddress;
-    if (address === null || this.#closed) {
+    if (address === null || this.#isClosed) {
       return;
     }
     const { host, port } = splitAddress(address);
     const socket = createConnection({ host, port, noDelay: true });
     this.#parent = socket;
-    let refused = false;
+    let isRefused = false;
     socket.setTimeout(CONNECT_TIMEOUT_MILLISECONDS);
     socket.on('timeout', () => endUnlessAlive(socket));
     socket.once('connect', () => {
@@ -136,19 +136,19 @@
       this.#listener.onParentOpened();
     });
     socket.on('error', (error: NodeJS.ErrnoException) => {
-      refused = error.code === 'ECONNREFUSED';
+      isRefused = error.code === 'ECONNREFUSED';
     });
     socket.on('close', () => {
       if (this.#parent === socket) {
         this.#parent = null;
-        this.#reconnect = setTimeout(() => this.#connect(), RECONNECT_MILLISECONDS);
-        this.#listener.onParentClosed(address, refused);
+        this.#reconnectTimer = setTimeout(() => this.#connectParent(), RECONNECT_MILLISECONDS);
+        this.#listener.onParentClosed(address, isRefused);
       }
     });
-    this.#read(socket, 0);
+    this.#readMessages(socket, 0);
   }
 
-  #accept(socket: Socket): void {
+  #acceptChild(socket: Socket): void {
     const link = this.#nextLink;
     this.#nextLink += 1;
     this.#children.set(link, socket);
@@ -158,15 +158,15 @@
       this.#children.delete(link);
       this.#listener.onLeft(link);
     });
-    this.#read(socket, link);
+    this.#readMessages(socket, link);
   }
 
-  #read(socket: Socket, link: number): void {
+  #readMessages(socket: Socket, link: number): void {
     const reader = new FrameReader();
     const peer = `${socket.remoteAddress}:${socket.remotePort}`;
     socket.on('data', (bytes: Buffer) => {
-      for (const part of reader.push(bytes) ?? [Buffer.alloc(0)]) {
-        const message = decodePeerMessage(part, peer);
+      for (const payload of reader.push(bytes) ?? [Buffer.alloc(0)]) {
+        const message = decodePeerMessage(payload, peer);
         if (message.isErr()) {
           socket.destroy();
           this.#listener.onMalformed(peer, message.error.message);
--- a/src/router-runtime/regular-tick.ts
+++ b/src/router-runtime/regular-tick.ts
@@ -1,12 +1,11 @@
 /**
- * The regular tick by which a daemon learns that time has passed. Timers run before sockets are polled: after a long turn, answers and messages that came
- * in time still lie there unread, so that a late tick waits until they have been read.
+ * The periodic tick event, which drives the time-dependent work of the reducer. Timers run before sockets are polled: after a long turn of the
+ * event loop, responses and messages that arrived in time are still unread. A late tick therefore waits until they have been read.
  */
 import type { Milliseconds } from '../router/model/identifiers.js';
 import type { LoopMonitor } from './loop-monitor.js';
 import type { PollBarrier } from '../event-loop/poll-barrier.js';
 
-/** Milliseconds between two ticks. */
 export const TICK_INTERVAL_MILLISECONDS = 20;
 
 export class RegularTick {
@@ -14,10 +13,10 @@
   readonly #barrier: PollBarrier;
   readonly #now: () => Milliseconds;
   readonly #action: () => void;
-  #isWaiting = false;
+  #isWaitingForPoll = false;
   #timer: NodeJS.Timeout | undefined;
 
-  /** @param action is run at each tick */
+  /** @param action runs at each tick; ticks that come while a late one waits are skipped */
   constructor(monitor: LoopMonitor, barrier: PollBarrier, now: () => Milliseconds, action: () => void) {
     this.#monitor = monitor;
     this.#barrier = barrier;
@@ -25,7 +24,7 @@
     this.#action = action;
   }
 
-  /** Begins with a tick at once. */
+  /** Runs the first tick at once. */
   start(): void {
     this.#timer = setInterval(() => this.#tick(), TICK_INTERVAL_MILLISECONDS);
     this.#tick();
@@ -38,16 +37,16 @@
   #tick(): void {
     const now = this.#now();
     this.#monitor.noteTick(now);
-    if (this.#isWaiting) {
+    if (this.#isWaitingForPoll) {
       return;
     }
     if (this.#monitor.isOnTime(now)) {
       this.#action();
       return;
     }
-    this.#isWaiting = true;
+    this.#isWaitingForPoll = true;
     this.#barrier.afterPoll(() => {
-      this.#isWaiting = false;
+      this.#isWaitingForPoll = false;
       this.#action();
     });
   }
--- a/src/router-runtime/request-intake.ts
+++ b/src/router-runtime/request-intake.ts
@@ -1,113 +1,112 @@
 /**
- * Requests that have been read and wait to be taken in: until the end of their connection would have been read, and for their turn while the
- * daemon is behind. Taking in is done in short slices with a poll of the sockets between them. A daemon that is behind takes the newest
- * first, since the others have less time left, and ends those that can't be in time any more, which costs little.
+ * Queue of requests that have been read but not yet handled. A request waits for a poll that would also have read its caller's disconnect,
+ * and for its turn while the daemon is behind. Requests are handled in short slices, and the sockets are polled between slices. A daemon
+ * that is behind handles the newest requests first (LIFO), because older ones have less time left, and first passes on those that can't be
+ * answered in time any more, which are cheap to refuse.
  */
 import type { Milliseconds } from '../router/model/identifiers.js';
 import type { PollBarrier } from '../event-loop/poll-barrier.js';
 
-/** Requests that are too late are ended for this long before the sockets are polled again. */
+/** The longest time spent on expired requests, and the shortest slice for the others, before the sockets are polled again. */
 const SLICE: Milliseconds = 10;
-/** Others are taken in for as long as has passed since the last slice, within these bounds: reading must not crowd out the work. */
+/** A slice lasts as long as the time since the last slice, up to this bound, so that reading sockets doesn't crowd out handling requests. */
 const LONGEST_SLICE: Milliseconds = 100;
-/** A daemon is behind when its oldest request has waited for longer than this. */
+/** The daemon is behind, and handles the newest requests first, when its oldest request has waited for longer than this. */
 const LONGEST_WAIT_IN_ORDER: Milliseconds = 50;
 
-/** A request that waits. */
 interface Waiting<Request> {
   readonly request: Request;
-  /** The earliest moment at which it may have come. */
+  /** The earliest time at which the request may have arrived. */
   readonly arrivedAt: Milliseconds;
-  /** It can't be answered in time after this moment. */
-  readonly lateAt: Milliseconds;
+  /** From this time on the request can't be answered in time. */
+  readonly expiresAt: Milliseconds;
 }
 
 export class RequestIntake<Request> {
   readonly #barrier: PollBarrier;
   readonly #now: () => Milliseconds;
-  readonly #take: (request: Request, waited: Milliseconds) => void;
-  /** Read since the barrier was last asked for a poll. */
-  #read: Waiting<Request>[] = [];
-  /** In the order of their reading. */
-  #waiting: Waiting<Request>[] = [];
-  #isScheduled = false;
-  /** The end of the last slice. */
-  #workedAt: Milliseconds = Number.NEGATIVE_INFINITY;
+  readonly #handle: (request: Request, waited: Milliseconds) => void;
+  /** Requests that wait for the next whole poll. */
+  #awaitingPoll: Waiting<Request>[] = [];
+  /** Requests that may be handled, in the order in which they were read. */
+  #queued: Waiting<Request>[] = [];
+  #isSliceScheduled = false;
+  #lastSliceEndedAt: Milliseconds = Number.NEGATIVE_INFINITY;
 
-  /** @param take takes a request in, or refuses it; told how long it may have waited */
+  /** @param handle handles or refuses a request, given how many milliseconds it may have waited */
   constructor(
     barrier: PollBarrier,
     now: () => Milliseconds,
-    take: (request: Request, waited: Milliseconds) => void,
+    handle: (request: Request, waited: Milliseconds) => void,
   ) {
     this.#barrier = barrier;
     this.#now = now;
-    this.#take = take;
+    this.#handle = handle;
   }
 
-  /** No request waits. */
+  /** Returns whether no request is queued. */
   get isEmpty(): boolean {
-    return this.#read.length === 0 && this.#waiting.length === 0;
+    return this.#awaitingPoll.length === 0 && this.#queued.length === 0;
   }
 
   /**
-   * A request was read.
+   * Adds a request that was read.
    *
-   * @param readDelay how long it may have waited unread
-   * @param longestDelay it can't be answered in time if it has waited for longer
+   * @param readDelay milliseconds that the request may have waited unread
+   * @param longestDelay milliseconds after its arrival from which the request can't be answered in time
    */
   add(request: Request, readDelay: Milliseconds, longestDelay: Milliseconds): void {
     const arrivedAt = this.#now() - readDelay;
-    this.#read.push({ request, arrivedAt, lateAt: arrivedAt + longestDelay });
-    if (this.#read.length === 1) {
-      this.#barrier.afterPoll(() => this.#endPoll());
+    this.#awaitingPoll.push({ request, arrivedAt, expiresAt: arrivedAt + longestDelay });
+    if (this.#awaitingPoll.length === 1) {
+      this.#barrier.afterPoll(() => this.#onPolled());
     }
   }
 
-  #endPoll(): void {
-    this.#waiting.push(...this.#read);
-    this.#read = [];
-    if (!this.#isScheduled) {
-      this.#work();
+  #onPolled(): void {
+    this.#queued.push(...this.#awaitingPoll);
+    this.#awaitingPoll = [];
+    if (!this.#isSliceScheduled) {
+      this.#runSlice();
     }
   }
 
-  #work(): void {
-    this.#isScheduled = false;
-    const polled = Math.min(LONGEST_SLICE, this.#now() - this.#workedAt);
-    this.#endLate();
-    this.#takeSome(Math.max(SLICE, polled));
-    this.#workedAt = this.#now();
-    if (this.#waiting.length > 0) {
-      this.#isScheduled = true;
-      this.#barrier.afterPoll(() => this.#work());
+  #runSlice(): void {
+    this.#isSliceScheduled = false;
+    const sinceLastSlice = Math.min(LONGEST_SLICE, this.#now() - this.#lastSliceEndedAt);
+    this.#handleExpired();
+    this.#handleSlice(Math.max(SLICE, sinceLastSlice));
+    this.#lastSliceEndedAt = this.#now();
+    if (this.#queued.length > 0) {
+      this.#isSliceScheduled = true;
+      this.#barrier.afterPoll(() => this.#runSlice());
     }
   }
 
-  #endLate(): void {
+  #handleExpired(): void {
     const startedAt = this.#now();
-    const inTime: Waiting<Request>[] = [];
-    for (const waiting of this.#waiting) {
+    const remaining: Waiting<Request>[] = [];
+    for (const queued of this.#queued) {
       const now = this.#now();
-      if (now >= waiting.lateAt && now - startedAt < SLICE) {
-        this.#take(waiting.request, now - waiting.arrivedAt);
+      if (now >= queued.expiresAt && now - startedAt < SLICE) {
+        this.#handle(queued.request, now - queued.arrivedAt);
       } else {
-        inTime.push(waiting);
+        remaining.push(queued);
       }
     }
-    this.#waiting = inTime;
+    this.#queued = remaining;
   }
 
-  #takeSome(slice: Milliseconds): void {
+  #handleSlice(slice: Milliseconds): void {
     const startedAt = this.#now();
-    const oldest = this.#waiting[0]?.arrivedAt ?? startedAt;
+    const oldest = this.#queued[0]?.arrivedAt ?? startedAt;
     const isBehind = startedAt - oldest > LONGEST_WAIT_IN_ORDER;
-    // Reversed, so that the next one is always the last.
-    const queue = isBehind ? this.#waiting : this.#waiting.toReversed();
+    // The next request is always the last of the queue, so that it can be popped.
+    const queue = isBehind ? this.#queued : this.#queued.toReversed();
     for (let now = startedAt; queue.length > 0 && now - startedAt < slice; now = this.#now()) {
       const { request, arrivedAt } = queue.pop() as Waiting<Request>;
-      this.#take(request, now - arrivedAt);
+      this.#handle(request, now - arrivedAt);
     }
-    this.#waiting = isBehind ? queue : queue.toReversed();
+    this.#queued = isBehind ? queue : queue.toReversed();
   }
 }
--- a/src/router-runtime/router-admin.ts
+++ b/src/router-runtime/router-admin.ts
@@ -1,4 +1,4 @@
-/** The address for operators. Its routes are loaded with the first request: callers wait for a start. */
+/** The HTTP server for operators. Its routes are loaded at the first request, to keep the daemon's start short for callers. */
 import { createServer, type RequestListener, type Server } from 'node:http';
 import type { RouterEvent } from '../router/events.js';
 import type { RouterState } from '../router/router-state.js';
@@ -15,11 +15,11 @@
   return createAdminRoutes(state, metrics, dispatch);
 }
 
-/** The server of the operators' address. */
+/** Creates the admin server. */
 export function createRouterAdmin(state: RouterState, metrics: RouterMetrics, dispatch: Dispatch): Server {
   let routes: Promise<RequestListener> | undefined;
   return createServer((request, response) => {
     routes ??= loadRoutes(state, metrics, dispatch);
-    void routes.then((serve) => serve(request, response));
+    void routes.then((handleRequest) => handleRequest(request, response));
   });
 }
--- a/src/router-runtime/router-daemon.ts
+++ b/src/router-runtime/router-daemon.ts
@@ -1,6 +1,6 @@
 /**
- * One router daemon: the reducer between its sockets. Performs effects, turns what happens into events. One
- * loop on one thread.
+ * One router daemon: connects the reducer to sockets, timers and the platform. Turns what happens there into events, and
+ * performs the effects that the reducer returns. Everything runs on one event loop in one thread.
  */
 import type { Result } from 'neverthrow';
 import { createServer, type Server } from 'node:http';
@@ -32,14 +32,13 @@
 import { PROCESS_TIMERS } from './timers.js';
 
 const LARGEST_LIFE = 2 ** 47;
-/** Callers are still sent here for this long after readiness has ended. */
+/** New requests may still arrive for this long after the readiness endpoint has begun to report 503. */
 const LINGER_MILLISECONDS = 2_300;
-/** A planned stop ends this long before the grace does. */
+/** A planned stop stops waiting for requests in flight this long before its grace period (`stopGrace`) ends. */
 const STOP_MARGIN_MILLISECONDS = 500;
 const STOP_POLL_MILLISECONDS = 20;
-/** Malformed objects that the log names in one life of the process; all are counted. */
+/** Malformed store objects that one process logs by name; all of them are counted. */
 const MOST_SAID_MALFORMED = 200;
-/** Characters of a name that are logged. */
 const LONGEST_NAME = 100;
 const OK = 200;
 const UNAVAILABLE = 503;
@@ -55,37 +54,37 @@
   readonly #settings: RouterSettings;
   readonly #platform: Platform;
   readonly #log: EventLog;
-  readonly #front: CallerFront;
+  readonly #frontend: CallerFront;
   readonly #barrier = PROCESS_BARRIER;
   readonly #connections = new ServerConnections(this.#barrier);
   readonly #peers: PeerLinks;
   readonly #readiness: Server;
   readonly #metrics: RouterMetrics;
-  readonly #loop: LoopMonitor;
+  readonly #loopMonitor: LoopMonitor;
   readonly #admin: Server;
   readonly #feeds: StoreFeeds;
   readonly #tick: RegularTick;
-  /** Objects of the store that the log has named. */
-  readonly #saidMalformed = new Set<string>();
-  /** Those in force at the front. */
-  #limits: CallerLimits | null = null;
+  /** `kind/name` of the malformed store objects that have been logged. */
+  readonly #loggedMalformedObjects = new Set<string>();
+  /** The caller limits that the frontend applies; null before the first configuration. */
+  #appliedLimits: CallerLimits | null = null;
 
   constructor(settings: RouterSettings, platform: Platform) {
     this.#settings = settings;
     this.#platform = platform;
     const { daemon, zone, firstStart, listen: addresses } = settings;
-    const life = randomInt(1, LARGEST_LIFE);
-    const identity = { daemon, zone, peerAddress: addresses.peers, life, isFirstStart: firstStart };
+    const incarnation = randomInt(1, LARGEST_LIFE);
+    const identity = { daemon, zone, peerAddress: addresses.peers, life: incarnation, isFirstStart: firstStart };
     this.state = createRouterState(identity, boundsOf(settings), identity.life);
     this.#log = new EventLog(daemon, this.state.counters);
-    this.#front = new CallerFront({
+    this.#frontend = new CallerFront({
       protocol: platform.protocol,
       connections: this.#connections,
       barrier: this.#barrier,
       dispatch: (event) => this.dispatch(event),
       loop: {
-        readDelay: () => this.#loop.unreadFor(this.#now()),
-        isOnTime: () => this.#loop.isOnTime(this.#now()),
+        readDelay: () => this.#loopMonitor.unreadFor(this.#now()),
+        isOnTime: () => this.#loopMonitor.isOnTime(this.#now()),
       },
       longestReadDelay: (host, target) => longestReadDelay(this.state, host, target),
     });
@@ -100,20 +99,20 @@
       },
     });
     this.#readiness = createServer((request, response) => {
-      const missing = missingForCallers(this.state);
-      const known = request.url === platform.protocol.readinessPath;
-      response.writeHead(known && missing === null ? OK : UNAVAILABLE).end();
+      const missingPart = missingForCallers(this.state);
+      const isReadinessPath = request.url === platform.protocol.readinessPath;
+      response.writeHead(isReadinessPath && missingPart === null ? OK : UNAVAILABLE).end();
     });
-    this.#loop = this.#createLoopMonitor();
+    this.#loopMonitor = this.#createLoopMonitor();
     this.#tick = new RegularTick(
-      this.#loop,
+      this.#loopMonitor,
       this.#barrier,
       () => this.#now(),
       () => this.dispatch({ kind: 'tick' }),
     );
     this.#barrier.watch(this.#readiness);
-    this.#barrier.watchLoop(() => this.#loop.isOnTime(this.#now()));
-    this.#metrics = new RouterMetrics(this.state, this.#loop.eventTimes);
+    this.#barrier.watchLoop(() => this.#loopMonitor.isOnTime(this.#now()));
+    this.#metrics = new RouterMetrics(this.state, this.#loopMonitor.eventTimes);
     this.#admin = createRouterAdmin(this.state, this.#metrics, (event) => this.dispatch(event));
     this.#feeds = new StoreFeeds(platform.feeds, (event) => this.dispatch(event), {
       timers: PROCESS_TIMERS,
@@ -134,10 +133,10 @@
     });
   }
 
-  /** Opens every port and starts. Rejects when a port is taken. */
+  /** Opens every port and starts the regular tick. Rejects when a port is in use. */
   async start(): Promise<void> {
     const { http, readiness, admin, peers } = this.#settings.listen;
-    await this.#front.listen(http);
+    await this.#frontend.listen(http);
     await this.#peers.listen(peers);
     await listen(this.#readiness, readiness);
     await listen(this.#admin, admin);
@@ -146,22 +145,22 @@
     this.#tick.start();
   }
 
-  /** The time; a suspension that shows in it is told to those who judge what was read. */
+  /** Reads the daemon's clock. Reports a suspension that the clock has detected to the loop monitor and the poll barrier. */
   #now(): Milliseconds {
     const now = PROCESS_CLOCK.now();
     const { suspension } = PROCESS_CLOCK;
     if (suspension !== null) {
-      this.#loop.noteSuspension(suspension.length);
+      this.#loopMonitor.noteSuspension(suspension.length);
       this.#barrier.noteSuspension();
     }
     return now;
   }
 
-  /** Takes one event through the reducer and performs the effects. */
+  /** Runs the reducer on one event and performs the resulting effects. */
   dispatch(event: RouterEvent): void {
     const startedAt = performance.now();
     this.#handle(event);
-    this.#loop.noteEvent(event.kind, performance.now() - startedAt);
+    this.#loopMonitor.noteEvent(event.kind, performance.now() - startedAt);
   }
 
   #handle(event: RouterEvent): void {
@@ -172,12 +171,12 @@
     }
     this.#reduce(now, event);
     const limits = this.state.configuration?.limits;
-    if (limits !== undefined && limits !== this.#limits) {
-      this.#limits = limits;
-      this.#front.applyLimits(limits);
+    if (limits !== undefined && limits !== this.#appliedLimits) {
+      this.#appliedLimits = limits;
+      this.#frontend.applyLimits(limits);
     }
     if (event.kind === 'tick') {
-      this.#front.closeConnections(this.state.stopping || this.state.isolation.viewIsOld);
+      this.#frontend.closeConnections(this.state.stopping || this.state.isolation.viewIsOld);
     }
   }
 
@@ -187,40 +186,40 @@
     }
   }
 
-  /** Takes settings that were read again. Addresses hold until the next start. */
+  /** Applies settings that were read again, or reports why they are invalid. Listen addresses change only at the next start. */
   reload(settings: Result<RouterSettings, SettingsError>): void {
     settings.match(
-      (read) => this.dispatch({ kind: 'settingsRead', bounds: boundsOf(read), faults: [] }),
+      (newSettings) => this.dispatch({ kind: 'settingsRead', bounds: boundsOf(newSettings), faults: [] }),
       ({ faults }) => this.dispatch({ kind: 'settingsRead', bounds: null, faults }),
     );
   }
 
-  /** An object of the store cannot be read. Counted each time, said once for its name. */
+  /** Records that an object of the store could not be parsed. Counts every occurrence, and logs each object once. */
   noteMalformedObject(kind: string, name: string): void {
     this.state.counters.malformed_store_objects += 1;
     const id = `${kind}/${name}`;
-    if (!this.#saidMalformed.has(id) && this.#saidMalformed.size < MOST_SAID_MALFORMED) {
-      this.#saidMalformed.add(id);
+    if (!this.#loggedMalformedObjects.has(id) && this.#loggedMalformedObjects.size < MOST_SAID_MALFORMED) {
+      this.#loggedMalformedObjects.add(id);
       this.#log.event('warn', 'malformed_store_object', { kind, name: name.slice(0, LONGEST_NAME) });
     }
   }
 
-  /** Stops as planned: takes no new callers, finishes what is in flight, and ends within the grace. */
+  /** Performs a planned stop: accepts no new callers, finishes requests in flight, and ends within the grace period. */
   async stop(): Promise<void> {
     const { stopGrace } = this.#settings.timing;
     const startedAt = PROCESS_CLOCK.now();
     const elapsed = (): number => PROCESS_CLOCK.now() - startedAt;
     this.dispatch({ kind: 'stopping' });
-    this.#front.closeConnections(true);
-    const linger = Math.min(LINGER_MILLISECONDS, stopGrace / 2);
-    await new Promise((resolve) => setTimeout(resolve, linger));
-    this.#front.closeIdle();
-    while (this.#front.inFlight > 0 && elapsed() < stopGrace - STOP_MARGIN_MILLISECONDS) {
+    this.#frontend.closeConnections(true);
+    const readinessLag = Math.min(LINGER_MILLISECONDS, stopGrace / 2);
+    await new Promise((resolve) => setTimeout(resolve, readinessLag));
+    this.#frontend.closeIdle();
+    while (this.#frontend.inFlight > 0 && elapsed() < stopGrace - STOP_MARGIN_MILLISECONDS) {
       await new Promise((resolve) => setTimeout(resolve, STOP_POLL_MILLISECONDS));
     }
     this.#tick.stop();
     this.#feeds.close();
-    this.#front.closeAll();
+    this.#frontend.closeAll();
     this.#readiness.closeAllConnections();
     this.#readiness.close();
     this.#admin.closeAllConnections();
@@ -230,7 +229,7 @@
     this.#platform.close();
     this.#log.event('info', 'stopped', {
       milliseconds: Math.round(elapsed()),
-      unfinished: this.#front.inFlight,
+      unfinished: this.#frontend.inFlight,
     });
     await this.#log.close();
   }
@@ -238,25 +237,25 @@
   #perform(effect: Effect): void {
     switch (effect.kind) {
       case 'forward':
-        return this.#front.forward(effect);
+        return this.#frontend.forward(effect);
       case 'cancel':
-        return this.#front.cancel(effect);
+        return this.#frontend.cancel(effect);
       case 'withdraw':
-        return this.#front.withdraw(effect);
+        return this.#frontend.withdraw(effect);
       case 'forgetConnections':
         return this.#connections.forget(effect.address);
       case 'answer':
-        return this.#front.answer(effect);
+        return this.#frontend.answer(effect);
       case 'requestEnded':
         return this.#metrics.requestEnded(effect);
       case 'log':
         return this.#log.event(effect.level, effect.event, effect.fields);
       case 'control':
-        return void this.#control(effect);
+        return void this.#callServer(effect);
       case 'readObject':
-        return void this.#read(effect);
+        return void this.#readObject(effect);
       case 'writeObject':
-        return void this.#write(effect);
+        return void this.#writeObject(effect);
       case 'refreshFeed':
         return this.#feeds.refresh(effect.feed);
       case 'follow':
@@ -272,7 +271,7 @@
     }
   }
 
-  async #control(effect: ControlEffect): Promise<void> {
+  async #callServer(effect: ControlEffect): Promise<void> {
     const sentAt = PROCESS_CLOCK.now();
     const { server } = effect;
     const outcome = await this.#platform.control.call(effect, {
@@ -282,13 +281,13 @@
     this.dispatch({ kind: 'controlEnded', callId: effect.callId, outcome });
   }
 
-  async #read({ object }: ReadObjectEffect): Promise<void> {
+  async #readObject({ object }: ReadObjectEffect): Promise<void> {
     const sentAt = PROCESS_CLOCK.now();
     const outcome = await this.#platform.store.read(object);
     this.dispatch({ kind: 'objectRead', object, sentAt, outcome });
   }
 
-  async #write({ object, value, revision }: WriteObjectEffect): Promise<void> {
+  async #writeObject({ object, value, revision }: WriteObjectEffect): Promise<void> {
     const sentAt = PROCESS_CLOCK.now();
     const outcome = await this.#platform.store.write(object, value, revision);
     this.dispatch({ kind: 'objectWritten', object, sentAt, outcome });
--- a/src/router-runtime/router-metrics.ts
+++ b/src/router-runtime/router-metrics.ts
@@ -1,4 +1,4 @@
-/** Counters, gauges and latency histograms in the Prometheus text form, by the `prom-client` library. */
+/** Counters, gauges and latency histograms in the Prometheus text format, through the `prom-client` library. */
 import { Counter, Gauge, Histogram, Registry } from 'prom-client';
 import { PROCESS_CLOCK } from '../clock/process-clock.js';
 import { ROUTER_COUNTER_NAMES } from '../router/counters.js';
@@ -15,7 +15,7 @@
 
 const UNKNOWN_AGE = -1;
 
-/** The figures of one daemon. */
+/** The metrics of one daemon. */
 export class RouterMetrics {
   readonly registry = new Registry();
   readonly #latency = new Histogram({
@@ -33,9 +33,9 @@
     registers: [this.registry],
   });
 
-  /** @param eventTimes milliseconds that events of each kind have taken; read at each request for the figures */
-  constructor(state: RouterState, eventTimes: ReadonlyMap<string, number>) {
-    this.#eventTimes(eventTimes);
+  /** @param eventHandlingTimes total handling time of each kind of event in milliseconds; read at each scrape */
+  constructor(state: RouterState, eventHandlingTimes: ReadonlyMap<string, number>) {
+    this.#registerEventTimes(eventHandlingTimes);
     for (const name of ROUTER_COUNTER_NAMES) {
       new Counter({
         name: `fennelferry_router_${name}_total`,
@@ -47,26 +47,26 @@
         },
       });
     }
-    this.#gauge('configuration_version', () => state.configuration?.version ?? 0);
-    this.#gauge('servers', () => state.servers.size);
-    this.#gauge('servers_revision', () => state.serversRevision ?? 0);
-    this.#gauge('ownership_term', () => state.view.term);
-    this.#gauge('units', () => state.view.units.length);
-    this.#gauge('units_without_grant', () => state.view.units.filter((unit) => !unit.granted).length);
-    this.#gauge('leads', () => (state.leadership === null ? 0 : 1));
-    this.#gauge('suspected_requests', () => state.crashes.suspicions);
-    this.#gauge('requests_in_quarantine', () => state.crashes.quarantines(PROCESS_CLOCK.now()).length);
-    this.#gauge('requests_in_flight', () => state.requests.size);
-    this.#gauge(
+    this.#registerGauge('configuration_version', () => state.configuration?.version ?? 0);
+    this.#registerGauge('servers', () => state.servers.size);
+    this.#registerGauge('servers_revision', () => state.serversRevision ?? 0);
+    this.#registerGauge('ownership_term', () => state.view.term);
+    this.#registerGauge('units', () => state.view.units.length);
+    this.#registerGauge('units_without_grant', () => state.view.units.filter((unit) => !unit.granted).length);
+    this.#registerGauge('leads', () => (state.leadership === null ? 0 : 1));
+    this.#registerGauge('suspected_requests', () => state.crashes.suspicions);
+    this.#registerGauge('requests_in_quarantine', () => state.crashes.quarantines(PROCESS_CLOCK.now()).length);
+    this.#registerGauge('requests_in_flight', () => state.requests.size);
+    this.#registerGauge(
       'news_age_seconds',
       () => newsAge(new RouterContext(state, PROCESS_CLOCK.now())) / MILLISECONDS_PER_SECOND,
     );
-    this.#feedAges(state);
-    this.#limits(state);
-    this.#gauge('resident_bytes', () => process.memoryUsage.rss());
+    this.#registerFeedAges(state);
+    this.#registerLimits(state);
+    this.#registerGauge('resident_bytes', () => process.memoryUsage.rss());
   }
 
-  #eventTimes(eventTimes: ReadonlyMap<string, number>): void {
+  #registerEventTimes(eventHandlingTimes: ReadonlyMap<string, number>): void {
     new Counter({
       name: 'fennelferry_router_event_seconds_total',
       help: 'time that events of each kind have taken',
@@ -74,13 +74,13 @@
       registers: [this.registry],
       collect() {
         this.reset();
-        eventTimes.forEach((time, event) => this.inc({ event }, time / MILLISECONDS_PER_SECOND));
+        eventHandlingTimes.forEach((time, event) => this.inc({ event }, time / MILLISECONDS_PER_SECOND));
       },
     });
   }
 
-  /** Age of the store's last answer to each feed that is followed. */
-  #feedAges(state: RouterState): void {
+  /** Registers the time since the store's last response to each feed that is followed. */
+  #registerFeedAges(state: RouterState): void {
     new Gauge({
       name: 'fennelferry_router_feed_age_seconds',
       help: "seconds since the store last answered a feed's list or watch; -1: not followed, or never",
@@ -96,10 +96,10 @@
     });
   }
 
-  /** Servers that name limits, and the permits that this daemon grants for them where it leads. */
-  #limits(state: RouterState): void {
-    this.#gauge('limited_servers', () => state.limits.inForce.size);
-    const gaugeByServer = (
+  /** Registers the servers' rate limits, and the permits that this daemon grants for them while it is the leader. */
+  #registerLimits(state: RouterState): void {
+    this.#registerGauge('limited_servers', () => state.limits.inForce.size);
+    const registerServerGauge = (
       name: string,
       help: string,
       read: (limit: LimitOverview) => number | null,
@@ -120,29 +120,29 @@
         },
       });
     };
-    gaugeByServer(
+    registerServerGauge(
       'server_limit',
       'requests a second that a server takes from all daemons',
       ({ limit }) => limit,
     );
-    gaugeByServer(
+    registerServerGauge(
       'server_permits',
       'permits a second that this daemon, the leader, has granted for it lately',
       ({ shares }) => shares?.reduce((sum, share) => sum + share.permitsPerSecond, 0) ?? null,
     );
   }
 
-  /** Takes in how late a tick was, in milliseconds. */
+  /** Records by how many milliseconds a tick was late. */
   loopDelayed(delay: number): void {
     this.#loopDelay.observe(delay / MILLISECONDS_PER_SECOND);
   }
 
-  /** Takes in the end of a request. */
+  /** Records the duration of a finished request. */
   requestEnded({ outcome, duration }: RequestEndedEffect): void {
     this.#latency.observe({ outcome }, duration / MILLISECONDS_PER_SECOND);
   }
 
-  #gauge(name: string, read: () => number): void {
+  #registerGauge(name: string, read: () => number): void {
     new Gauge({
       name: `fennelferry_router_${name}`,
       help: name.replaceAll('_', ' '),
--- a/src/router-runtime/server-connections.ts
+++ b/src/router-runtime/server-connections.ts
@@ -1,6 +1,6 @@
 /**
- * Connections to servers, one request at a time on each. The one used last is used first, so that few stay
- * open; one on which anything was odd is never used again.
+ * Connection pools to servers, with one request at a time on each connection. The most recently used connection is reused first, so that
+ * few stay open. A connection on which anything went wrong is never reused.
  */
 import type { Dispatcher } from 'undici';
 import { buildResettingConnector, Client } from '../http-client/index.js';
@@ -8,11 +8,11 @@
 import type { PollBarrier } from '../event-loop/poll-barrier.js';
 
 const CONNECT_TIMEOUT_MILLISECONDS = 700;
-/** Servers close idle connections after a time of their own, which they may state. */
+/** Idle timeout for servers that don't state theirs in a `Keep-Alive` header. Servers close idle connections after a timeout of their own. */
 const IDLE_MILLISECONDS = 6_000;
 const IDLE_THRESHOLD_MILLISECONDS = 1_500;
 const LONGEST_IDLE_MILLISECONDS = 60_000;
-/** Connections of this daemon to one server. */
+/** The most connections of this daemon to one server. */
 const MOST_PER_SERVER = 24;
 
 const connector = buildResettingConnector({ timeout: CONNECT_TIMEOUT_MILLISECONDS });
@@ -20,10 +20,10 @@
 /** One connection to a server. */
 export class ServerConnection {
   readonly client: Client;
-  /** The socket was reset or failed, as opposed to an orderly end. */
+  /** The socket was reset or failed, as opposed to an orderly close. */
   failed = false;
 
-  /** @param barrier a request is written on a connection that has come up once its caller is known to be still there */
+  /** @param barrier delays the first request on a new connection until a recent poll has shown whether its caller has disconnected */
   constructor(address: string, barrier: PollBarrier) {
     this.client = new Client(`http://${address}`, {
       pipelining: 1,
@@ -36,7 +36,7 @@
         connector(options, (...result) => {
           const [error, socket] = result;
           if (error === null) {
-            this.#watch(socket);
+            this.#detectFailure(socket);
           }
           barrier.whenFresh(() => callback(...result));
         });
@@ -45,7 +45,7 @@
     this.client.on('connectionError', () => undefined);
   }
 
-  #watch(socket: Socket): void {
+  #detectFailure(socket: Socket): void {
     this.failed = false;
     socket.on('error', () => {
       this.failed = true;
@@ -58,7 +58,7 @@
   }
 }
 
-/** The connections of one server address. */
+/** The connections to one server address. */
 class ServerPool {
   readonly idle: ServerConnection[] = [];
   open = 0;
@@ -72,7 +72,7 @@
     this.#barrier = barrier;
   }
 
-  /** A connection for one request, or null when too many are open. */
+  /** Returns a connection for one request, or null when too many are open. */
   take(address: string): ServerConnection | null {
     let pool = this.#pools.get(address);
     if (pool === undefined) {
@@ -90,7 +90,7 @@
     return new ServerConnection(address, this.#barrier);
   }
 
-  /** Gives a connection back; it is closed unless it may be used again. */
+  /** Returns a connection to its pool, or closes it if it must not be reused. */
   release(address: string, connection: ServerConnection, reusable: boolean): void {
     const pool = this.#pools.get(address);
     if (pool !== undefined && reusable) {
@@ -103,7 +103,7 @@
     void connection.client.destroy();
   }
 
-  /** Closes the idle connections to an address that is no longer used. */
+  /** Closes the idle connections to an address. */
   forget(address: string): void {
     const pool = this.#pools.get(address);
     for (const connection of pool?.idle.splice(0) ?? []) {
--- a/src/router-runtime/store-feeds.ts
+++ b/src/router-runtime/store-feeds.ts
@@ -1,4 +1,4 @@
-/** The feeds of one daemon: what it lists and watches in the store, as events for the reducer. */
+/** The lists that one daemon follows in the store, reported to the reducer as events. */
 import type { FollowEvacuationsEffect, FollowStoreEffect } from '../router/effects.js';
 import type { RouterEvent } from '../router/events.js';
 import type { Configuration } from '../router/model/configuration.js';
@@ -9,7 +9,7 @@
 
 type Dispatch = (event: RouterEvent) => void;
 
-/** Tells the reducer how the calls of a feed end. */
+/** Reports the outcomes of a feed's calls to the reducer. */
 function healthListener(
   feed: FeedName,
   dispatch: Dispatch,
@@ -21,14 +21,14 @@
 }
 
 function configurationListener(dispatch: Dispatch): FeedListener<Configuration> {
-  const take = (changes: readonly FeedChange<Configuration>[], revision: number): void => {
+  const dispatchAll = (changes: readonly FeedChange<Configuration>[], revision: number): void => {
     for (const { item } of changes) {
       if (item !== null) {
         dispatch({ kind: 'configuration', configuration: item, revision });
       }
     }
   };
-  return { onList: take, onChanges: take, ...healthListener('configuration', dispatch) };
+  return { onList: dispatchAll, onChanges: dispatchAll, ...healthListener('configuration', dispatch) };
 }
 
 function serverListener(dispatch: Dispatch): FeedListener<ServerDescription> {
@@ -38,8 +38,8 @@
       dispatch({ kind: 'serversListed', servers, revision });
     },
     onChanges: (changes, revision) => {
-      const taken = changes.map(({ id, item }) => ({ id, server: item }));
-      dispatch({ kind: 'serversChanged', changes: taken, revision });
+      const serverChanges = changes.map(({ id, item }) => ({ id, server: item }));
+      dispatch({ kind: 'serversChanged', changes: serverChanges, revision });
     },
     ...healthListener('servers', dispatch),
   };
@@ -69,7 +69,7 @@
     this.#evacuations = new ObjectFeed(sources.evacuations, evacuationListener(dispatch), timing);
   }
 
-  /** Begins or ceases to follow configuration and servers. */
+  /** Starts or stops following the configuration and the servers. */
   followStore({ follows, configurationRevision, serversRevision }: FollowStoreEffect): void {
     if (follows) {
       this.#configuration.begin(configurationRevision);
@@ -80,7 +80,7 @@
     }
   }
 
-  /** Begins or ceases to follow evacuations. */
+  /** Starts or stops following the evacuated zones. */
   followEvacuations({ follows, revision }: FollowEvacuationsEffect): void {
     if (follows) {
       this.#evacuations.begin(revision);
@@ -89,12 +89,12 @@
     }
   }
 
-  /** Lists a feed anew. */
+  /** Lists the contents of a feed again. */
   refresh(feed: FeedName): void {
     this.#feedOf(feed).refresh();
   }
 
-  /** Ends all of them. */
+  /** Closes all feeds. */
   close(): void {
     this.#configuration.close();
     this.#servers.close();
--- a/src/router-runtime/timers.ts
+++ b/src/router-runtime/timers.ts
@@ -1,17 +1,18 @@
-/** Time as the runtime's own decisions see it: the process's steady clock, or virtual time in tests. */
+/** Clock and timers for decisions of the runtime: those of the process, or virtual time in tests. */
 import { PROCESS_CLOCK } from '../clock/process-clock.js';
 import type { Milliseconds } from '../router/model/identifiers.js';
 
-/** Undoes a timer that has not fired. */
+/** Cancels a timer that has not fired. */
 export type CancelTimer = () => void;
 
-/** A clock and its timers. */
+/** A clock and timers. */
 export interface Timers {
   now(): Milliseconds;
+  /** Runs an action once, after a delay. */
   after(delay: Milliseconds, action: () => void): CancelTimer;
 }
 
-/** Those of this process. */
+/** The clock and timers of this process. */
 export const PROCESS_TIMERS: Timers = {
   now: () => PROCESS_CLOCK.now(),
   after(delay, action) {
