--- a/src/clock/daemon-clock.ts
+++ b/src/clock/daemon-clock.ts
@@ -1,48 +1,49 @@
 /**
- * The one clock of a daemon: all times that its decisions compare come from here. The steady clock stands still while
- * a machine is suspended; without that time a leader would renew leases of keys that its successor has moved. The boot-time clock goes
- * on, and the time of day does, which may also be set.
+ * The clock of a daemon: all times that its decisions compare come from here. The machine's monotonic (steady) clock stops while the machine
+ * is suspended. A leader that missed the time of a suspension would renew leases on keys that its successor has moved. The boot-time clock and
+ * the time of day continue during a suspension, but the time of day may also be set.
  */
 
-/** Milliseconds on a daemon's clock, or a length of time. */
+/** A time on a daemon's clock, or a duration, in milliseconds. */
 export type ClockMilliseconds = number;
 
 /** The clocks of a machine, in milliseconds. */
 export interface ClockSources {
-  /** Never goes back, and stands still while the machine is suspended. */
+  /** Reads the monotonic clock, which stops while the machine is suspended. */
   steady(): ClockMilliseconds;
-  /** Goes on while the machine is suspended; known to 10 ms. Reading it takes a system call. */
+  /** Reads the boot-time clock, which continues while the machine is suspended. It has steps of 10 ms, and reading it takes a system call. */
   boot(): ClockMilliseconds;
-  /** May jump by itself: whoever sets it moves it. */
+  /** Reads the time of day, which may jump when it is set. */
   timeOfDay(): ClockMilliseconds;
 }
 
-/** The machine was suspended, or the time of day was set ahead. */
+/** A suspension of the machine, or a forward step of the time of day that can't be told from one. */
 export interface Suspension {
   readonly length: ClockMilliseconds;
-  /** The clock has counted it. Otherwise the time of day jumped, and no other clock tells whether it was set. */
+  /** The daemon's clock includes this time. Otherwise the time of day jumped, and no other clock shows whether it was set. */
   readonly isCounted: boolean;
 }
 
-/** Shorter jumps are the steps in which clocks are known, or slow corrections of the time of day. */
+/** Shorter jumps come from the resolution of the clocks, or from gradual corrections of the time of day. */
 const SHORTEST_SUSPENSION: ClockMilliseconds = 100;
-/** The boot-time clock is read this often, to see whether it runs like the steady one, and at each jump of the time of day. */
+/** The boot-time clock is read at this interval, to check that it runs at the rate of the steady clock, and at each jump of the time of day. */
 const BOOT_READ_INTERVAL: ClockMilliseconds = 1_000;
-/** Both agree when they differ by less between two readings: three steps of 10 ms. */
+/** The boot-time and steady clocks agree if they differ by less than this between two readings: three steps of 10 ms. */
 const BOOT_TOLERANCE: ClockMilliseconds = 30;
-/** Readings in a row that agree before the boot-time clock is believed: under a simulator it may run by another time than all else. */
+/** Consecutive agreeing readings after which the boot-time clock is trusted: under a simulator it may run at another rate than all other clocks. */
 const BOOT_AGREEMENTS = 3;
 
 export class DaemonClock {
   readonly #sources: ClockSources;
-  /** Time of suspensions that the steady clock lacks. */
-  #counted: ClockMilliseconds = 0;
-  /** The time of day less the steady time, when last looked at. */
+  /** Total length of the suspensions, which the steady clock doesn't include. */
+  #suspendedTime: ClockMilliseconds = 0;
+  /** Time of day minus steady time, at the last reading. */
   #dayOffset: ClockMilliseconds;
-  /** The boot time less the steady time, and the steady time, when last looked at. */
+  /** Boot time minus steady time, at the last reading of the boot-time clock. */
   #bootOffset: ClockMilliseconds;
+  /** Steady time at the last reading of the boot-time clock. */
   #bootReadAt: ClockMilliseconds;
-  #agreements = 0;
+  #bootAgreements = 0;
   #suspension: Suspension | null = null;
 
   constructor(sources: ClockSources) {
@@ -53,51 +54,51 @@
     this.#bootReadAt = steady;
   }
 
-  /** Milliseconds since an arbitrary moment, those of suspensions included as soon as they can be known. */
+  /** Returns the milliseconds since an arbitrary origin, including suspensions as soon as they are detected. */
   now(): ClockMilliseconds {
     const steady = this.#sources.steady();
     const dayOffset = this.#sources.timeOfDay() - steady;
     const jump = dayOffset - this.#dayOffset;
     this.#dayOffset = dayOffset;
     if (jump >= SHORTEST_SUSPENSION) {
-      this.#noteJump(steady, jump);
+      this.#handleTimeOfDayJump(steady, jump);
     } else if (steady - this.#bootReadAt >= BOOT_READ_INTERVAL) {
-      this.#compareBootClock(steady);
+      this.#checkBootClock(steady);
     }
-    return steady + this.#counted;
+    return steady + this.#suspendedTime;
   }
 
-  /** As takeSuspension, without taking it. */
+  /** Returns the suspension that takeSuspension would return, without clearing it. */
   get suspension(): Suspension | null {
     return this.#suspension;
   }
 
-  /** A suspension that was noticed when the clock was last read, and not yet taken; or null. */
+  /** Returns and clears the last suspension that reading the clock has detected, or returns null. */
   takeSuspension(): Suspension | null {
     const suspension = this.#suspension;
     this.#suspension = null;
     return suspension;
   }
 
-  /** The time of day went ahead: the boot-time clock tells whether it was set, if that clock can be believed. */
-  #noteJump(steady: ClockMilliseconds, jump: ClockMilliseconds): void {
-    const isBelieved = this.#agreements >= BOOT_AGREEMENTS;
+  /** Handles a forward jump of the time of day. The boot-time clock, if trusted, shows whether it was a suspension or the time was set. */
+  #handleTimeOfDayJump(steady: ClockMilliseconds, jump: ClockMilliseconds): void {
+    const isBootClockTrusted = this.#bootAgreements >= BOOT_AGREEMENTS;
     const bootJump = this.#readBootClock(steady);
-    if (!isBelieved) {
-      this.#agreements = 0;
+    if (!isBootClockTrusted) {
+      this.#bootAgreements = 0;
       this.#suspension = { length: jump, isCounted: false };
     } else if (bootJump >= SHORTEST_SUSPENSION - BOOT_TOLERANCE) {
-      this.#counted += bootJump;
+      this.#suspendedTime += bootJump;
       this.#suspension = { length: bootJump, isCounted: true };
     }
   }
 
-  #compareBootClock(steady: ClockMilliseconds): void {
+  #checkBootClock(steady: ClockMilliseconds): void {
     const difference = Math.abs(this.#readBootClock(steady));
-    this.#agreements = difference < BOOT_TOLERANCE ? this.#agreements + 1 : 0;
+    this.#bootAgreements = difference < BOOT_TOLERANCE ? this.#bootAgreements + 1 : 0;
   }
 
-  /** By how much the boot-time clock went ahead of the steady one since it was last read. */
+  /** Returns by how much the boot-time clock has gained on the steady clock since its last reading. */
   #readBootClock(steady: ClockMilliseconds): ClockMilliseconds {
     const offset = this.#sources.boot() - steady;
     const jump = offset - this.#bootOffset;
--- a/src/clock/process-clock.ts
+++ b/src/clock/process-clock.ts
@@ -1,4 +1,4 @@
-/** The clock of this process. */
+/** The daemon clock of this process. */
 import { uptime } from 'node:os';
 import { DaemonClock } from './daemon-clock.js';
 
--- a/src/event-loop/poll-barrier.ts
+++ b/src/event-loop/poll-barrier.ts
@@ -1,67 +1,72 @@
 /**
- * Lets a decision wait until everything has been read that sockets had received before. A turn of the event loop runs timers, then polls the
- * sockets, then runs immediates: a whole poll lies between two immediates. The end of a connection is read a poll later than the bytes
- * before it, so a daemon that is behind would otherwise act on a request without knowing that its caller has left. A poll accepts one
- * connection of each listening socket: while some were accepted, further polls come before the work, or the others would wait a whole turn each.
+ * Delays an action until all data that sockets had received before has been read. A turn of the event loop runs timers, then polls the
+ * sockets, then runs immediates, so that a whole poll lies between two immediates. The end of a connection is read one poll later than the
+ * data before it: without the delay, a daemon that is behind would act on a request without knowing that its caller has disconnected.
+ * A poll accepts one connection per listening socket. As long as polls accept connections, further polls therefore run before the delayed
+ * actions; otherwise each of the remaining connections would wait for a whole turn of the loop.
  */
 import type { Server } from 'node:net';
 import { PROCESS_CLOCK } from '../clock/process-clock.js';
 import type { Milliseconds } from '../router/model/identifiers.js';
 
-/** What was read this long ago still counts as the present state of a connection. */
+/** The state of a connection counts as current if the last poll of the sockets is no older than this. */
 const LONGEST_STALENESS: Milliseconds = 200;
 
-/** Polls that accept connections keep actions waiting for this long at most. */
+/** The longest time for which accepting connections may delay actions. */
 const LONGEST_ACCEPTING: Milliseconds = 50;
 
 type Action = () => void;
 
 export class PollBarrier {
   readonly #now: () => Milliseconds;
-  /** Added since the last immediate: the poll under way may have passed their sockets already. */
-  #added: Action[] = [];
-  /** Those for which the poll under way is a whole one. */
-  #polling: Action[] = [];
+  /** Actions added since the last immediate: the current poll may have passed their sockets already. */
+  #awaitingNextPoll: Action[] = [];
+  /** Actions that were added before the current poll began. */
+  #awaitingCurrentPoll: Action[] = [];
   #pollStartedAt: Milliseconds = Number.NEGATIVE_INFINITY;
-  /** All that was received before this time has been read. */
-  #readUntil: Milliseconds = Number.NEGATIVE_INFINITY;
+  /** All data that sockets received before this time has been read. */
+  #allReadUntil: Milliseconds = Number.NEGATIVE_INFINITY;
   #isScheduled = false;
-  #isOnTime: () => boolean = () => false;
-  /** The poll under way has accepted a connection. */
+  #isLoopOnTime: () => boolean = () => false;
+  /** The current poll has accepted a connection. */
   #hasAccepted = false;
-  /** When the polls began that have accepted connections without work between them. */
+  /** Since when consecutive polls have accepted connections without running actions in between. */
   #acceptingSince: Milliseconds | null = null;
 
   constructor(now: () => Milliseconds = () => performance.now()) {
     this.#now = now;
   }
 
-  /** Lets actions wait while a server accepts connections. */
+  /** Delays actions while a server accepts connections. */
   watch(server: Server): void {
     server.on('connection', () => {
       this.#hasAccepted = true;
     });
   }
 
-  /** The machine was suspended: nothing that was read before is fresh, whether or not the clock has counted that time. */
+  /** Records a suspension of the machine: data read before it is stale, whether or not the clock has counted that time. */
   noteSuspension(): void {
-    this.#readUntil = Number.NEGATIVE_INFINITY;
+    this.#allReadUntil = Number.NEGATIVE_INFINITY;
   }
 
   /** Runs an action after the next whole poll. */
   afterPoll(action: Action): void {
-    this.#added.push(action);
+    this.#awaitingNextPoll.push(action);
     this.#schedule();
   }
 
-  /** @param isOnTime whether the loop is known to have polled the sockets a short time ago */
+  /**
+   * Sets the check that tells whether the loop has polled its sockets a short time ago.
+   *
+   * @param isOnTime returns true only if that is certain
+   */
   watchLoop(isOnTime: () => boolean): void {
-    this.#isOnTime = isOnTime;
+    this.#isLoopOnTime = isOnTime;
   }
 
-  /** Runs an action as soon as the sockets were polled a short time ago: at once if they were. */
+  /** Runs an action at once if the sockets were polled a short time ago, otherwise after further polls. */
   whenFresh(action: Action): void {
-    if (this.#isOnTime() || this.#now() - this.#readUntil <= LONGEST_STALENESS) {
+    if (this.#isLoopOnTime() || this.#now() - this.#allReadUntil <= LONGEST_STALENESS) {
       action();
     } else {
       this.afterPoll(() => this.whenFresh(action));
@@ -71,30 +76,30 @@
   #schedule(): void {
     if (!this.#isScheduled) {
       this.#isScheduled = true;
-      setImmediate(() => this.#endPoll());
+      setImmediate(() => this.#onPolled());
     }
   }
 
-  #endPoll(): void {
+  #onPolled(): void {
     this.#isScheduled = false;
-    const due = this.#polling;
-    this.#readUntil = this.#pollStartedAt;
-    this.#polling = this.#added;
-    this.#added = [];
+    const due = this.#awaitingCurrentPoll;
+    this.#allReadUntil = this.#pollStartedAt;
+    this.#awaitingCurrentPoll = this.#awaitingNextPoll;
+    this.#awaitingNextPoll = [];
     if (this.#mayAcceptMore()) {
-      this.#polling.unshift(...due);
+      this.#awaitingCurrentPoll.unshift(...due);
     } else {
       due.forEach((action) => action());
     }
     this.#pollStartedAt = this.#now();
-    if (this.#polling.length > 0) {
+    if (this.#awaitingCurrentPoll.length > 0) {
       this.#schedule();
     } else {
       this.#acceptingSince = null;
     }
   }
 
-  /** Whether connections are likely to wait that should be accepted before any work. */
+  /** Returns whether more connections are likely to wait that should be accepted before actions run. */
   #mayAcceptMore(): boolean {
     const now = this.#now();
     const hasAccepted = this.#hasAccepted;
@@ -108,5 +113,5 @@
   }
 }
 
-/** That of this process's loop. */
+/** The barrier of this process's event loop. */
 export const PROCESS_BARRIER = new PollBarrier(() => PROCESS_CLOCK.now());
