--- a/src/router-runtime/caller-front.ts
+++ b/src/router-runtime/caller-front.ts
@@ -1,5 +1,5 @@
 /**
- * The HTTP server for callers: reads complete requests, passes them to the reducer, and performs the reducer's attempts and responses.
+ * The HTTP server for callers: reads complete requests, passes them to the reducer, and sends the attempts and responses that it decides on.
  * Built directly on Node's HTTP server, because a framework on top would cost more than the work itself.
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
--- a/src/router-runtime/loop-monitor.ts
+++ b/src/router-runtime/loop-monitor.ts
@@ -11,7 +11,7 @@
 const TICKS_AFTER_SUSPENSION = 2;
 /** A tick that is this late begins a period in which the loop is reported as behind. */
 const BEHIND: Milliseconds = 100;
-/** The period ends when no tick has been this late for {@link CAUGHT_UP_TIME}. */
+/** The period ends when no tick has been this late for {@link CAUGHT_UP_DURATION}. */
 const ON_TIME: Milliseconds = 50;
 const CALM: Milliseconds = 1_000;
 /** The number of event kinds that are reported at the end of the period. */
