--- a/src/router-runtime/attempt.ts
+++ b/src/router-runtime/attempt.ts
@@ -143,7 +143,9 @@
     }
     const needsEchoedId = status < FIRST_FAILURE_STATUS;
     if (isForOtherRequest || (needsEchoedId && echoedId === null)) {
-      this.#fail(isForOtherRequest ? 'an answer to another request' : 'an answer without the id of the request');
+      this.#fail(
+        isForOtherRequest ? 'an answer to another request' : 'an answer without the id of the request',
+      );
     }
     return true;
   }
--- a/src/router-runtime/caller-front.ts
+++ b/src/router-runtime/caller-front.ts
@@ -183,7 +183,12 @@
     const attemptId = headerValue(rawHeaders, this.#protocol.attemptId) ?? '';
     const key = this.#readKey(rawHeaders);
     if (key !== null && !(key >= 0 && key <= LAST_KEY)) {
-      this.#sendOwnResponse(outgoing, BAD_REQUEST, `the key must be a whole number from 0 to ${LAST_KEY}`, null);
+      this.#sendOwnResponse(
+        outgoing,
+        BAD_REQUEST,
+        `the key must be a whole number from 0 to ${LAST_KEY}`,
+        null,
+      );
       return;
     }
     const exchange: Exchange = {
@@ -394,7 +399,12 @@
     }
   }
 
-  #sendOwnResponse(outgoing: ServerResponse, status: number, reason: string, retryAfter: number | null): void {
+  #sendOwnResponse(
+    outgoing: ServerResponse,
+    status: number,
+    reason: string,
+    retryAfter: number | null,
+  ): void {
     if (outgoing.headersSent || outgoing.destroyed) {
       return;
     }
--- a/src/router-runtime/event-log.ts
+++ b/src/router-runtime/event-log.ts
@@ -60,7 +60,9 @@
       this.#logDroppedLines();
     }
     this.#infoLinesInSecond += 1;
-    return this.#infoLinesInSecond <= MOST_LINES_PER_SECOND && this.#bufferedCharacters < LARGEST_BUFFER_CHARACTERS;
+    return (
+      this.#infoLinesInSecond <= MOST_LINES_PER_SECOND && this.#bufferedCharacters < LARGEST_BUFFER_CHARACTERS
+    );
   }
 
   #logDroppedLines(): void {
--- a/src/router-runtime/router-daemon.ts
+++ b/src/router-runtime/router-daemon.ts
@@ -74,7 +74,13 @@
     this.#platform = platform;
     const { daemon, zone, firstStart, listen: addresses } = settings;
     const incarnation = randomInt(1, LARGEST_LIFE);
-    const identity = { daemon, zone, peerAddress: addresses.peers, life: incarnation, isFirstStart: firstStart };
+    const identity = {
+      daemon,
+      zone,
+      peerAddress: addresses.peers,
+      life: incarnation,
+      isFirstStart: firstStart,
+    };
     this.state = createRouterState(identity, boundsOf(settings), identity.life);
     this.#log = new EventLog(daemon, this.state.counters);
     this.#frontend = new CallerFront({
--- a/src/router-runtime/router-metrics.ts
+++ b/src/router-runtime/router-metrics.ts
@@ -55,7 +55,10 @@
     this.#registerGauge('units_without_grant', () => state.view.units.filter((unit) => !unit.granted).length);
     this.#registerGauge('leads', () => (state.leadership === null ? 0 : 1));
     this.#registerGauge('suspected_requests', () => state.crashes.suspicions);
-    this.#registerGauge('requests_in_quarantine', () => state.crashes.quarantines(PROCESS_CLOCK.now()).length);
+    this.#registerGauge(
+      'requests_in_quarantine',
+      () => state.crashes.quarantines(PROCESS_CLOCK.now()).length,
+    );
     this.#registerGauge('requests_in_flight', () => state.requests.size);
     this.#registerGauge(
       'news_age_seconds',
--- a/test/router-runtime/test-sent-after-caller-left.ts
+++ b/test/router-runtime/test-sent-after-caller-left.ts
@@ -2,7 +2,8 @@
 import { afterEach, describe, it } from 'node:test';
 import { type HeldUpCase, HeldUpFront } from '../support/held-up-front.js';
 
-const getRequest = (id: string): string => `GET /a HTTP/1.1\r\nHost: h\r\nFennelferry-Attempt-Id: ${id}\r\n\r\n`;
+const getRequest = (id: string): string =>
+  `GET /a HTTP/1.1\r\nHost: h\r\nFennelferry-Attempt-Id: ${id}\r\n\r\n`;
 
 function postInChunks(id: string): string[] {
   const head = `POST /a HTTP/1.1\r\nHost: h\r\nFennelferry-Attempt-Id: ${id}\r\nContent-Length: 6\r\n\r\n`;
