--- a/src/router-runtime/caller-front.ts
+++ b/src/router-runtime/caller-front.ts
@@ -161,7 +161,7 @@
       if (bytes > this.#maxBodyBytes && !refused) {
         refused = true;
         outgoing.shouldKeepAlive = false;
-        this.#sendOwnResponse(outgoing, TOO_LARGE, 'the body is too long', null);
+        this.#respond(outgoing, TOO_LARGE, 'the body is too long', null);
       }
       if (!refused) {
         chunks.push(chunk);
@@ -183,12 +183,7 @@
     const attemptId = headerValue(rawHeaders, this.#protocol.attemptId) ?? '';
     const key = this.#readKey(rawHeaders);
     if (key !== null && !(key >= 0 && key <= LAST_KEY)) {
-      this.#sendOwnResponse(
-        outgoing,
-        BAD_REQUEST,
-        `the key must be a whole number from 0 to ${LAST_KEY}`,
-        null,
-      );
+      this.#respond(outgoing, BAD_REQUEST, `the key must be a whole number from 0 to ${LAST_KEY}`, null);
       return;
     }
     const exchange: Exchange = {
@@ -395,16 +390,11 @@
   answer(effect: AnswerEffect): void {
     const exchange = this.#exchanges.get(effect.requestId);
     if (exchange !== undefined) {
-      this.#sendOwnResponse(exchange.outgoing, effect.status, effect.reason, effect.retryAfter);
+      this.#respond(exchange.outgoing, effect.status, effect.reason, effect.retryAfter);
     }
   }
 
-  #sendOwnResponse(
-    outgoing: ServerResponse,
-    status: number,
-    reason: string,
-    retryAfter: number | null,
-  ): void {
+  #respond(outgoing: ServerResponse, status: number, reason: string, retryAfter: number | null): void {
     if (outgoing.headersSent || outgoing.destroyed) {
       return;
     }
