--- a/src/http-client/recycling-pool.ts
+++ b/src/http-client/recycling-pool.ts
@@ -3,7 +3,7 @@
  * unresponsive without a reset, and affects every connection that is open at that moment: each one that stayed in the pool would
  * make another call time out.
  */
-import { PROCESS_BARRIER } from '../event-loop/poll-barrier.js';
+import { PROCESS_POLL_BARRIER } from '../event-loop/poll-barrier.js';
 import type { Dispatcher, Pool as UndiciPool } from 'undici';
 import Pool from 'undici/lib/dispatcher/pool.js';
 
@@ -44,7 +44,7 @@
     const abort = (): void => this.#abort(timeout);
     this.#timer = setTimeout(() => {
       if (isWritten()) {
-        PROCESS_BARRIER.afterPoll(abort);
+        PROCESS_POLL_BARRIER.afterPoll(abort);
       } else {
         abort();
       }
--- a/src/router-runtime/peer-codec.ts
+++ b/src/router-runtime/peer-codec.ts
@@ -1,4 +1,4 @@
-/** Turns messages between daemons into bytes and back, by the generated protobuf codec. */
+/** Encodes and decodes messages between daemons with the generated protobuf codec. */
 import { err, ok, type Result } from 'neverthrow';
 import { deflateRawSync, inflateRawSync } from 'node:zlib';
 import protobuf from 'protobufjs/minimal.js';
@@ -7,19 +7,19 @@
 import type { PeerMessage } from '../router/peers/messages.js';
 import { router } from '../wire/generated/router.js';
 
-// Without the Long type the library reads 64-bit numbers as plain ones.
+// Without the Long type the library decodes 64-bit integers as plain numbers.
 (protobuf.util as { Long: unknown }).Long = undefined;
 protobuf.configure();
 
-const TO_OBJECT = { defaults: true, arrays: true, oneofs: true } as const;
-/** Shorter frames are not worth the time to deflate them. */
-const DEFLATED_FROM_BYTES = 4_096;
-/** A frame that is longer than this once inflated is nonsense. */
-const LARGEST_INFLATED_BYTES = 16 * 1024 * 1024;
-/** Lists of servers and configurations repeat themselves: the quickest level finds nearly all of it. */
+const TO_OBJECT_OPTIONS = { defaults: true, arrays: true, oneofs: true } as const;
+/** Shorter frames are sent uncompressed: deflating them would cost more time than it saves. */
+const MIN_DEFLATED_BYTES = 4_096;
+/** A frame that inflates to more than this is rejected as malformed. */
+const MAX_INFLATED_BYTES = 16 * 1024 * 1024;
+/** Server lists and configurations are so repetitive that the fastest level finds nearly all of the repetition. */
 const DEFLATE_LEVEL = 1;
 
-/** A configuration as it travels: its services are a list. */
+/** Converts a message to its wire form, in which the services of a configuration are a list instead of a map. */
 function toWire(message: PeerMessage): object {
   if (message.kind !== 'configurationNews') {
     return message;
@@ -28,6 +28,7 @@
   return { revision, configuration: { ...configuration, services: [...configuration.services.values()] } };
 }
 
+/** A configuration in wire form. */
 type WireConfiguration = Omit<Configuration, 'services'> & { readonly services: Service[] };
 
 function fromWire(kind: string, fields: object): PeerMessage {
@@ -39,10 +40,10 @@
   return { kind, revision, configuration: { ...configuration, services } };
 }
 
-/** The bytes of a message. */
+/** Returns a message as a protobuf frame, deflated if it is long. */
 export function encodePeerMessage(message: PeerMessage): Uint8Array {
   const bytes = router.Frame.encode({ [message.kind]: toWire(message) } as router.IFrame).finish();
-  if (bytes.length < DEFLATED_FROM_BYTES) {
+  if (bytes.length < MIN_DEFLATED_BYTES) {
     return bytes;
   }
   return router.Frame.encode({ deflated: deflateRawSync(bytes, { level: DEFLATE_LEVEL }) }).finish();
@@ -52,12 +53,12 @@
   const frame = router.Frame.decode(bytes);
   return frame.payload === 'deflated'
     ? router.Frame.decode(
-        inflateRawSync(frame.deflated ?? Buffer.alloc(0), { maxOutputLength: LARGEST_INFLATED_BYTES }),
+        inflateRawSync(frame.deflated ?? Buffer.alloc(0), { maxOutputLength: MAX_INFLATED_BYTES }),
       )
     : frame;
 }
 
-/** The message in some bytes, or an error that names the peer the bytes came from. */
+/** Decodes a frame. An error names `peer`, the daemon that sent the bytes. */
 export function decodePeerMessage(bytes: Uint8Array, peer: string): Result<PeerMessage, WireError> {
   try {
     const decoded = decodeFrame(bytes);
@@ -65,7 +66,7 @@
     if (kind === undefined || kind === 'deflated') {
       return err(new WireError('decode peer message', peer, 'no payload'));
     }
-    return ok(fromWire(kind, router.Frame.toObject(decoded, TO_OBJECT)[kind] as object));
+    return ok(fromWire(kind, router.Frame.toObject(decoded, TO_OBJECT_OPTIONS)[kind] as object));
   } catch (cause) {
     const detail = cause instanceof Error ? cause.message : String(cause);
     return err(new WireError('decode peer message', peer, detail));
--- a/test/router-runtime/test-loop-monitor.ts
+++ b/test/router-runtime/test-loop-monitor.ts
@@ -1,72 +1,72 @@
 import { expect } from 'earl';
 import { describe, it } from 'node:test';
-import { LoopMonitor, type LoopSpell } from '../../src/router-runtime/loop-monitor.js';
+import { LoopMonitor, type LoopLagPeriod } from '../../src/router-runtime/loop-monitor.js';
 
 const INTERVAL = 20;
 
-/** A monitor whose ticks come as a test says. */
+/** A monitor whose ticks are driven by the test. */
 class MonitoredLoop {
   now = 0;
-  readonly begun: number[] = [];
-  readonly spells: LoopSpell[] = [];
+  readonly reportedDelays: number[] = [];
+  readonly periods: LoopLagPeriod[] = [];
   readonly monitor = new LoopMonitor(INTERVAL, {
-    delayed: () => undefined,
-    fellBehind: (delay) => this.begun.push(delay),
-    caughtUp: (spell) => this.spells.push(spell),
+    onTick: () => undefined,
+    onFellBehind: (delay) => this.reportedDelays.push(delay),
+    onCaughtUp: (period) => this.periods.push(period),
   });
 
   tickAfter(time: number, count = 1): void {
     for (let tick = 0; tick < count; tick += 1) {
       this.now += time;
-      this.monitor.noteTick(this.now);
+      this.monitor.recordTick(this.now);
     }
   }
 }
 
 describe('the loop monitor', () => {
-  it('knows how long input may have waited unread, within a turn that lasts and after it', () => {
+  it('reports how long data may have waited unread, during a long turn of the loop and after it', () => {
     const loop = new MonitoredLoop();
     loop.tickAfter(INTERVAL, 2);
-    expect(loop.monitor.unreadFor(loop.now + 15)).toEqual(0);
-    expect(loop.monitor.unreadFor(loop.now + 320)).toEqual(300);
+    expect(loop.monitor.maxUnreadTime(loop.now + 15)).toEqual(0);
+    expect(loop.monitor.maxUnreadTime(loop.now + 320)).toEqual(300);
     loop.tickAfter(620);
-    expect(loop.monitor.unreadFor(loop.now + 5)).toEqual(600);
+    expect(loop.monitor.maxUnreadTime(loop.now + 5)).toEqual(600);
     loop.tickAfter(INTERVAL);
-    expect(loop.monitor.unreadFor(loop.now + 5)).toEqual(0);
+    expect(loop.monitor.maxUnreadTime(loop.now + 5)).toEqual(0);
   });
 
-  it('says once that the loop is behind and once that it is on time, with what its time went into', () => {
+  it('reports once that the loop is behind and once that it is on time, with the events that took most time', () => {
     const loop = new MonitoredLoop();
     loop.tickAfter(INTERVAL, 2);
-    loop.monitor.noteEvent('attemptEnded', 40);
+    loop.monitor.recordEvent('attemptEnded', 40);
     loop.tickAfter(INTERVAL + 150);
-    loop.monitor.noteEvent('requestArrived', 300);
+    loop.monitor.recordEvent('requestArrived', 300);
     loop.tickAfter(INTERVAL + 400, 3);
-    loop.monitor.noteEvent('attemptEnded', 30);
+    loop.monitor.recordEvent('attemptEnded', 30);
     loop.tickAfter(INTERVAL, 60);
-    expect(loop.begun).toEqual([150]);
-    expect(loop.spells).toEqual([
+    expect(loop.reportedDelays).toEqual([150]);
+    expect(loop.periods).toEqual([
       { longest: 400, lasted: 1_410, busiest: { requestArrived: 300, attemptEnded: 30 } },
     ]);
   });
 
-  // A request was taken for fresh that had come while the machine was suspended, on a clock that stood still.
+  // A request that arrived while the machine was suspended would count as recent on a clock that stops during a suspension.
   it('is not on time after a suspension until the sockets have been polled', () => {
     const loop = new MonitoredLoop();
     loop.tickAfter(INTERVAL, 2);
     expect(loop.monitor.isOnTime(loop.now)).toEqual(true);
-    loop.monitor.noteSuspension(800);
+    loop.monitor.recordSuspension(800);
     loop.tickAfter(INTERVAL);
     expect(loop.monitor.isOnTime(loop.now)).toEqual(false);
-    expect(loop.monitor.unreadFor(loop.now)).toEqual(800);
+    expect(loop.monitor.maxUnreadTime(loop.now)).toEqual(800);
     loop.tickAfter(INTERVAL);
     expect(loop.monitor.isOnTime(loop.now)).toEqual(true);
   });
 
-  it('says nothing of delays that are short', () => {
+  it('does not report short delays', () => {
     const loop = new MonitoredLoop();
     loop.tickAfter(INTERVAL + 60, 100);
-    expect(loop.begun).toEqual([]);
-    expect(loop.spells).toEqual([]);
+    expect(loop.reportedDelays).toEqual([]);
+    expect(loop.periods).toEqual([]);
   });
 });
--- a/test/router/support/router-simulation.ts
+++ b/test/router/support/router-simulation.ts
@@ -231,7 +231,7 @@
     };
     return new StoreFeeds(sources, (event) => this.#deliver(daemon, life, event), {
       timers: daemon.machine.createTimers(() => daemon.clock),
-      watchTime: () => watchTime(daemon.state.bounds),
+      watchTimeout: () => watchTime(daemon.state.bounds),
     });
   }
 
--- a/test/support/held-up-front.ts
+++ b/test/support/held-up-front.ts
@@ -5,7 +5,7 @@
 import type { AddressInfo } from 'node:net';
 import { Worker } from 'node:worker_threads';
 import { REQUEST_PROTOCOL } from '../../platform/protocol.js';
-import { CallerFront } from '../../src/router-runtime/caller-front.js';
+import { CallerFrontend } from '../../src/router-runtime/caller-frontend.js';
 import { LoopMonitor } from '../../src/router-runtime/loop-monitor.js';
 import { PollBarrier } from '../../src/event-loop/poll-barrier.js';
 import { RegularTick, TICK_INTERVAL_MILLISECONDS } from '../../src/router-runtime/regular-tick.js';
@@ -66,14 +66,14 @@
   /** Only holding the loop up takes time on this clock. */
   readonly #barrier = new PollBarrier(() => this.#heldFor);
   readonly #connections = new ServerConnections(this.#barrier);
-  readonly #front: CallerFront;
+  readonly #front: CallerFrontend;
   readonly #left = new Int32Array(new SharedArrayBuffer(3 * Int32Array.BYTES_PER_ELEMENT));
   #thread: Worker | undefined;
   /** Passes of time as a daemon's reducer hears of them. */
   readonly #monitor = new LoopMonitor(TICK_INTERVAL_MILLISECONDS, {
-    delayed: () => undefined,
-    fellBehind: () => undefined,
-    caughtUp: () => undefined,
+    onTick: () => undefined,
+    onFellBehind: () => undefined,
+    onCaughtUp: () => undefined,
   });
   readonly #tick = new RegularTick(
     this.#monitor,
@@ -90,13 +90,13 @@
 
   private constructor(server: RawServer) {
     this.#server = server;
-    this.#front = new CallerFront({
+    this.#front = new CallerFrontend({
       protocol: REQUEST_PROTOCOL,
       connections: this.#connections,
       barrier: this.#barrier,
       dispatch: (event) => this.#take(event),
       loop: {
-        readDelay: () => this.#monitor.unreadFor(performance.now()),
+        readDelay: () => this.#monitor.maxUnreadTime(performance.now()),
         isOnTime: () => this.#monitor.isOnTime(performance.now()),
       },
       longestReadDelay: () => null,
@@ -113,7 +113,7 @@
     const made = new HeldUpFront(await RawServer.start(answer));
     await made.#front.listen('127.0.0.1:0');
     made.#tick.start();
-    made.#barrier.watchLoop(() => made.#monitor.isOnTime(performance.now()));
+    made.#barrier.setLoopCheck(() => made.#monitor.isOnTime(performance.now()));
     const { port } = made.#front.server.address() as AddressInfo;
     const workerData: CallerThreadData = { port, left: made.#left };
     made.#thread = new Worker(new URL('caller-thread.js', import.meta.url), { workerData });
