--- a/test/soak/daemon-process.ts
+++ b/test/soak/daemon-process.ts
@@ -1,12 +1,15 @@
 /** A router daemon as a process of its own, as the soak starts, signals and replaces it. */
 import { type ChildProcess, spawn } from 'node:child_process';
-import { createWriteStream, writeFileSync } from 'node:fs';
+import { createWriteStream, existsSync, readFileSync, writeFileSync } from 'node:fs';
 import { join } from 'node:path';
 import { fileURLToPath } from 'node:url';
 
 /** The daemon's program: this build's. */
 export const PROGRAM = fileURLToPath(new URL('../../platform/main.js', import.meta.url));
 
+/** In a daemon's log, the line of an election that it won. */
+const LEADERSHIP_WON = '"event":"leadership_won"';
+
 /** Makes the steady clock of a process stand still while it is stopped. */
 const SUSPENDED_CLOCK = new URL('suspended-clock.js', import.meta.url).href;
 
@@ -20,6 +23,8 @@
 
 export class DaemonProcess {
   readonly name: string;
+  /** The build that each of its processes runs. */
+  readonly program: string;
   readonly ports: DaemonPorts;
   /** Its last trouble (start, signal) was at this time, in ms. */
   troubledAt = 0;
@@ -30,7 +35,7 @@
   resumedAt = 0;
   readonly #settings: object;
   readonly #folder: string;
-  readonly #program: string;
+  readonly #logPath: string;
   /** A pause of it is a suspension of its machine. */
   readonly #suspends: boolean;
   #child: ChildProcess | null = null;
@@ -43,10 +48,11 @@
     { folder, program, suspends }: { folder: string; program: string; suspends: boolean },
   ) {
     this.name = name;
+    this.program = program;
     this.ports = ports;
     this.#settings = settings;
     this.#folder = folder;
-    this.#program = program;
+    this.#logPath = join(folder, `${name}.log`);
     this.#suspends = suspends;
   }
 
@@ -68,10 +74,10 @@
     writeFileSync(path, JSON.stringify({ ...this.#settings, firstStart: this.#starts === 0 }));
     this.#starts += 1;
     const flags = this.#suspends ? ['--import', SUSPENDED_CLOCK] : [];
-    const child = spawn(process.execPath, [...flags, this.#program, path], {
+    const child = spawn(process.execPath, [...flags, this.program, path], {
       stdio: ['ignore', 'pipe', 'pipe'],
     });
-    const log = createWriteStream(join(this.#folder, `${this.name}.log`), { flags: 'a' });
+    const log = createWriteStream(this.#logPath, { flags: 'a' });
     child.stdout.pipe(log, { end: false });
     child.stderr.pipe(log, { end: false });
     this.#child = child;
@@ -98,6 +104,12 @@
     this.#child?.kill(name);
   }
 
+  /** The number of elections that its processes won, by the lines in their log. */
+  countLeadershipsWon(): number {
+    const lines = existsSync(this.#logPath) ? readFileSync(this.#logPath, 'utf8').split('\n') : [];
+    return lines.filter((line) => line.includes(LEADERSHIP_WON)).length;
+  }
+
   /** Resolves when the present process has ended. */
   async ended(): Promise<void> {
     const child = this.#child;
@@ -106,3 +118,12 @@
     }
   }
 }
+
+/** The number of elections that the daemons of each program won. */
+export function leadershipsWonByProgram(daemons: readonly DaemonProcess[]): Map<string, number> {
+  const won = new Map<string, number>();
+  for (const daemon of daemons) {
+    won.set(daemon.program, (won.get(daemon.program) ?? 0) + daemon.countLeadershipsWon());
+  }
+  return won;
+}
--- a/test/soak/main.ts
+++ b/test/soak/main.ts
@@ -1,4 +1,9 @@
-/** The long soak, started by hand: `npm run soak -- --seeds 1..50 --daemons 5 --seconds 25 --at-once 3 --harsh --notices --limits --leaving`. */
+/**
+ * The long soak, started by hand: `npm run soak -- --seeds 1..50 --daemons 5 --seconds 25 --at-once 3 --harsh --notices --limits --leaving`.
+ *
+ * `--program FILE` starts all daemons from another build. `--program-of-half FILE` starts every second daemon from that build, so that two builds run
+ * beside each other; a daemon keeps its build over restarts, and the report says how many elections each build won.
+ */
 import { parseArgs } from 'node:util';
 import { PROGRAM } from './daemon-process.js';
 import type { SoakReport } from './soak-report.js';
@@ -13,6 +18,7 @@
     servers: { type: 'string', default: '4' },
     seconds: { type: 'string', default: '25' },
     program: { type: 'string', default: PROGRAM },
+    'program-of-half': { type: 'string' },
     'at-once': { type: 'string', default: '1' },
     harsh: { type: 'boolean', default: false },
     notices: { type: 'boolean', default: false },
@@ -28,9 +34,11 @@
 function tell(report: SoakReport): void {
   const { seed, violations, requests, answered, versions, longestStall, troubles, folder, serverEnds } =
     report;
+  const won = [...report.leadershipsWon].map(([program, count]) => `${count} by ${program}`).join(', ');
+  const builds = values['program-of-half'] === undefined ? '' : `; elections won: ${won}`;
   const verdict = violations.length === 0 ? 'all promises kept' : `${violations.length} BROKEN`;
   print(
-    `seed ${seed}: ${verdict}; ${requests} requests, ${answered} answered; ${versions} versions; ${serverEnds} servers ended; ${troubles.length} troubles; longest stall ${longestStall} ms`,
+    `seed ${seed}: ${verdict}; ${requests} requests, ${answered} answered; ${versions} versions; ${serverEnds} servers ended; ${troubles.length} troubles; longest stall ${longestStall} ms${builds}`,
   );
   if (violations.length > 0) {
     violations.slice(0, 10).forEach((violation) => print(`  ${violation}`));
@@ -50,6 +58,7 @@
       daemons: Number(values.daemons),
       servers: Number(values.servers),
       program: values.program,
+      programOfHalf: values['program-of-half'],
       isHarsh: values.harsh,
       hasNotices: values.notices,
       hasLimits: values.limits,
--- a/test/soak/soak-report.ts
+++ b/test/soak/soak-report.ts
@@ -7,6 +7,8 @@
   readonly servers: number;
   /** The daemons' program: another build shows what a soak would have found there. */
   readonly program: string;
+  /** The program of every second daemon, so that two builds run beside each other; undefined: all daemons run `program`. */
+  readonly programOfHalf?: string | undefined;
   /** Milliseconds of troubles. */
   readonly length: number;
   /** Callers send requests under which servers end, and pauses of daemons are suspensions of their machines. */
@@ -19,6 +21,11 @@
   readonly hasLeaving: boolean;
 }
 
+/** The program that a daemon runs, by its number, in all its processes. */
+export function programOf({ program, programOfHalf }: SoakOptions, index: number): string {
+  return index % 2 === 1 ? (programOfHalf ?? program) : program;
+}
+
 /** What a run came to. */
 export interface SoakReport {
   readonly seed: number;
@@ -28,6 +35,8 @@
   readonly versions: number;
   /** Servers that ended under requests. */
   readonly serverEnds: number;
+  /** How often a daemon of each program won an election, by the daemons' logs: lines lost with a killed process are not counted. */
+  readonly leadershipsWon: ReadonlyMap<string, number>;
   /** The longest that this process, the store and the servers among it, stood still, in ms: beside too much load it is long. */
   readonly longestStall: number;
   readonly troubles: readonly string[];
--- a/test/soak/soak.ts
+++ b/test/soak/soak.ts
@@ -9,7 +9,7 @@
 import { ArrivalChecks } from './arrival-checks.js';
 import { Caller } from './caller.js';
 import { ConfigurationProbes } from './configuration-probes.js';
-import { DaemonProcess } from './daemon-process.js';
+import { DaemonProcess, leadershipsWonByProgram } from './daemon-process.js';
 import { DeadlyRequests } from './deadly-requests.js';
 import { configurationOf, freePorts, settingsOf, TIMING, ZONES } from './deployment.js';
 import { LeavingCallers } from './leaving-callers.js';
@@ -18,7 +18,7 @@
 import { Outages } from './outages.js';
 import { Promises } from './promises.js';
 import { drawSchedule, type Trouble } from './schedule.js';
-import type { SoakOptions, SoakReport } from './soak-report.js';
+import { programOf, type SoakOptions, type SoakReport } from './soak-report.js';
 import { DEADLY_MARK, ServerStandIn } from './server-stand-in.js';
 import { type StoreMode, StoreStandIn } from './store-stand-in.js';
 
@@ -135,8 +135,8 @@
         .map((port) => `127.0.0.1:${port}`) as [string, string, string, string];
       const places = { http, readiness, admin, peers };
       const settings = settingsOf(index, places, storeAddress);
-      const { program, isHarsh: suspends } = this.#options;
-      const process = { folder: this.#folder, program, suspends };
+      const program = programOf(this.#options, index);
+      const process = { folder: this.#folder, program, suspends: this.#options.isHarsh };
       const daemon = new DaemonProcess(`d${index}`, places, settings, process);
       this.#daemons.push(daemon);
       this.#callers.push(new Caller(daemon, this.#promises, `127.0.0.${index + FIRST_CALLER}`));
@@ -395,6 +395,7 @@
       answered: outcomes.filter(({ status }) => status === 200).length,
       versions: this.#version,
       serverEnds: this.#deadly.ends,
+      leadershipsWon: leadershipsWonByProgram(this.#daemons),
       longestStall: Math.round(this.#stalls.max / NANOSECONDS_PER_MILLISECOND),
       troubles,
       folder: this.#folder,
