--- a/test/soak/notice-troubles.ts
+++ b/test/soak/notice-troubles.ts
@@ -165,7 +165,7 @@
       const until = now + server.restSeconds * MILLISECONDS_PER_SECOND;
       const backOffs = mapForServer(this.#backOffs, server);
       const currentBackOff = backOffs.get(daemon.name);
-      if (currentBackOff === undefined || now >= running.until) {
+      if (currentBackOff === undefined || now >= currentBackOff.until) {
         backOffs.set(daemon.name, { from: now, until, arrivals: 0 });
       }
     }
