--- a/test/soak/soak.ts
+++ b/test/soak/soak.ts
@@ -28,10 +28,7 @@
 const SERVER_RESTART = 2_000;
 /** Time after which the entry of the crashed incarnation leaves the store: three missed heartbeats. */
 const ENTRY_LAPSE = 4_000;
-/**
- * Time without faults at the end, after which everything has to be served again. After the loss of all daemons, a new leader waits 7.7 s for the leases of
- * servers that are gone, beginning 1.4 s after the store is back.
- */
+/** Time without faults before the final check. After the loss of all daemons, a new leader waits 7.7 s for leases of lost servers, from 1.4 s after the store is back. */
 const CALM = 12_000;
 /** Time within which the keys of a crashed server are served again: its lease, and a move to another server. */
 const RECOVERY = 5_000;
@@ -39,7 +36,7 @@
 const FIRST_CALLER = 2;
 const CALL_INTERVAL = 60;
 const INSIST_INTERVAL = 900;
-/** Time after which a stopping daemon, which may be paused meanwhile, is killed as the platform would do. */
+/** Milliseconds after which a stopping daemon, which may be paused meanwhile, is killed as the platform would do. */
 const STOP_LIMIT = TIMING.stopGrace * MILLISECONDS_PER_SECOND + 2_000;
 
 export class Soak {
