--- a/test/admin/test-language.ts
+++ b/test/admin/test-language.ts
@@ -5,7 +5,7 @@
 import { parseStatement } from '../../src/admin/language/parser.js';
 import { answerQuery } from '../../src/admin/queries.js';
 import { parseRoutingConfiguration } from '../../src/core/configuration/routing-configuration.js';
-import { CONFIGURATION, DaemonFixture, ofKind } from '../support/daemon-fixture.js';
+import { CONFIGURATION, DaemonFixture, effectsOfKind } from '../support/daemon-fixture.js';
 
 function errorOf(text: string): string {
   return parseStatement(text)._unsafeUnwrapErr().message;
@@ -84,7 +84,7 @@
     const daemon = new DaemonFixture();
     const text = JSON.stringify({ groups: CONFIGURATION.groups, routes: [{ name: 'x' }] });
     const command = { action: 'configure', expectedVersion: 1, text, operator: 'aina' } as const;
-    const [result] = ofKind(
+    const [result] = effectsOfKind(
       daemon.dispatch({ kind: 'operatorCommand', commandId: 1, command }),
       'commandResult',
     );
@@ -100,14 +100,17 @@
       text: JSON.stringify(CONFIGURATION),
       operator: 'aina',
     } as const;
-    const [write] = ofKind(
+    const [write] = effectsOfKind(
       daemon.dispatch({ kind: 'operatorCommand', commandId: 1, command }),
       'writeObject',
     );
     const { name = '', writeId = '' } = write ?? {};
     daemon.dispatch({ kind: 'objectWritten', name, writeId, result: 'conflict', version: 0 });
     const read = { version: 2, value: JSON.stringify(CONFIGURATION), writeId: 'bolor@d9#1.1' };
-    const [result] = ofKind(daemon.dispatch({ kind: 'objectRead', name, result: read }), 'commandResult');
+    const [result] = effectsOfKind(
+      daemon.dispatch({ kind: 'objectRead', name, result: read }),
+      'commandResult',
+    );
     expect(result).toEqual({
       kind: 'commandResult',
       commandId: 1,
@@ -124,14 +127,14 @@
       text: JSON.stringify(CONFIGURATION),
       operator: 'aina',
     } as const;
-    const [write] = ofKind(
+    const [write] = effectsOfKind(
       daemon.dispatch({ kind: 'operatorCommand', commandId: 1, command }),
       'writeObject',
     );
     const { name = '', writeId = '', value = '' } = write ?? {};
     daemon.dispatch({ kind: 'objectWritten', name, writeId, result: 'unknown', version: 0 });
     const effects = daemon.dispatch({ kind: 'objectRead', name, result: { version: 2, value, writeId } });
-    expect(ofKind(effects, 'commandResult')[0]?.accepted).toEqual(true);
+    expect(effectsOfKind(effects, 'commandResult')[0]?.accepted).toEqual(true);
     expect(daemon.state.configuration.version).toEqual(2);
   });
 });
--- a/test/platform/test-object-store-client.ts
+++ b/test/platform/test-object-store-client.ts
@@ -30,12 +30,12 @@
   // If a timeout replaced only its own connection, each other open connection would make one more call time out after 1.5 s: a
   // daemon with four open connections would get no updates for 6 s.
   it('has only one call time out, not one per connection, when all open connections become unresponsive', async () => {
-    server.holdUntil(CONNECTIONS);
+    server.holdResponsesUntil(CONNECTIONS);
     const reads = Array.from({ length: CONNECTIONS }, () => api.read('leader'));
     expect((await Promise.all(reads)).map(({ kind }) => kind)).toEqual(Array(CONNECTIONS).fill('found'));
     expect(server.connections).toEqual(CONNECTIONS);
     await connectionsReusable();
-    server.mute();
+    server.muteUsedConnections();
     expect((await api.read('leader')).kind).toEqual('failed');
     expect((await api.read('leader')).kind).toEqual('found');
   });
--- a/test/platform/test-server-control-client.ts
+++ b/test/platform/test-server-control-client.ts
@@ -111,13 +111,13 @@
     muting = await MutingServer.start((socket) => void socket.write(EMPTY_RESPONSE));
     address = muting.address;
     const api = new ServerControlClient();
-    muting.holdUntil(connections);
+    muting.holdResponsesUntil(connections);
     await Promise.all(
       Array.from({ length: connections }, () => api.call(grant(LONG_TIMEOUT), IGNORING_LISTENER)),
     );
     expect(muting.connections).toEqual(connections);
     await new Promise((resolve) => setImmediate(resolve));
-    muting.mute();
+    muting.muteUsedConnections();
     expect((await api.call(grant(SHORT_TIMEOUT), IGNORING_LISTENER)).kind).toEqual('unanswered');
     expect((await api.call(grant(1_000), IGNORING_LISTENER)).kind).toEqual('accepted');
     api.close();
--- a/test/router-runtime/test-late-timeouts.ts
+++ b/test/router-runtime/test-late-timeouts.ts
@@ -37,7 +37,7 @@
       ({ text }) => text,
       (error: unknown) => String(error),
     );
-    await server.holdWhileItAnswers(2 * CALL_TIMEOUT);
+    await server.blockLoopWhileAnswering(2 * CALL_TIMEOUT);
     expect(await call).toEqual('body');
     pool.destroy();
   });
@@ -59,7 +59,7 @@
     });
     openLinks = peerLinks;
     peerLinks.connectToParent(server.address);
-    await server.holdWhileItAnswers(LONGER_THAN_IDLE_TIMEOUT);
+    await server.blockLoopWhileAnswering(LONGER_THAN_IDLE_TIMEOUT);
     await settle();
     expect(seen).toEqual(['opened', 'redirect']);
   });
--- a/test/router-runtime/test-sent-after-caller-left.ts
+++ b/test/router-runtime/test-sent-after-caller-left.ts
@@ -1,6 +1,6 @@
 import { expect } from 'earl';
 import { afterEach, describe, it } from 'node:test';
-import { type HeldUpCase, HeldUpFront } from '../support/held-up-front.js';
+import { type BlockedLoopCase, BlockedLoopFront } from '../support/blocked-loop-front.js';
 
 const getRequest = (id: string): string =>
   `GET /a HTTP/1.1\r\nHost: h\r\nFennelferry-Attempt-Id: ${id}\r\n\r\n`;
@@ -10,38 +10,41 @@
   return [head, 'abc', 'def'];
 }
 
-const BASE: HeldUpCase = {
+const BASE: BlockedLoopCase = {
   callers: 20,
-  isKept: true,
-  leaving: 'close',
-  heldAt: 'reading',
-  piecesOf: (id) => [getRequest(id)],
+  reusesConnections: true,
+  disconnection: 'close',
+  blockedAt: 'reading',
+  splitRequest: (id) => [getRequest(id)],
 };
 
 /** What the event loop finds in its sockets when it continues. */
-const CASES: Readonly<Record<string, HeldUpCase>> = {
+const CASES: Readonly<Record<string, BlockedLoopCase>> = {
   'reused connections that were closed': BASE,
-  'new connections that were closed': { ...BASE, isKept: false },
-  'connections that were reset': { ...BASE, leaving: 'reset' },
-  'new connections that were reset': { ...BASE, isKept: false, leaving: 'reset' },
-  'connections that were half-closed': { ...BASE, leaving: 'halfClose' },
-  'bodies in pieces': { ...BASE, piecesOf: postInChunks },
-  'two requests in one packet': { ...BASE, piecesOf: (id) => [getRequest(id) + getRequest(`${id}-second`)] },
-  'callers that disconnected while another request was handled': { ...BASE, heldAt: 'takingIn' },
+  'new connections that were closed': { ...BASE, reusesConnections: false },
+  'connections that were reset': { ...BASE, disconnection: 'reset' },
+  'new connections that were reset': { ...BASE, reusesConnections: false, disconnection: 'reset' },
+  'connections that were half-closed': { ...BASE, disconnection: 'halfClose' },
+  'bodies in pieces': { ...BASE, splitRequest: postInChunks },
+  'two requests in one packet': {
+    ...BASE,
+    splitRequest: (id) => [getRequest(id) + getRequest(`${id}-second`)],
+  },
+  'callers that disconnected while another request was handled': { ...BASE, blockedAt: 'takingIn' },
   'callers on new connections that disconnected while another request was handled': {
     ...BASE,
-    isKept: false,
-    heldAt: 'takingIn',
+    reusesConnections: false,
+    blockedAt: 'takingIn',
   },
   'callers that disconnected while a connection to the server was established': {
     ...BASE,
-    isKept: false,
-    heldAt: 'connecting',
+    reusesConnections: false,
+    blockedAt: 'connecting',
   },
-  'many callers on new connections': { ...BASE, callers: 200, isKept: false },
+  'many callers on new connections': { ...BASE, callers: 200, reusesConnections: false },
 };
 
-let front: HeldUpFront | undefined;
+let front: BlockedLoopFront | undefined;
 
 afterEach(() => front?.close());
 
@@ -49,8 +52,8 @@
   // The end of a connection waits in the socket right behind the request: the request could be forwarded before the end is read.
   it('does not forward a request whose caller has disconnected', async () => {
     for (const [name, heldUpCase] of Object.entries(CASES)) {
-      front = await HeldUpFront.start();
-      const { sent } = await front.play(heldUpCase);
+      front = await BlockedLoopFront.start();
+      const { sent } = await front.runCase(heldUpCase);
       await front.close();
       expect({ name, sent }).toEqual({ name, sent: 0 });
     }
@@ -58,21 +61,26 @@
 
   // If the tick ran before the sockets were polled, servers and daemons whose responses wait unread would count as unresponsive.
   it('reads the data that has arrived meanwhile before it runs the tick', async () => {
-    front = await HeldUpFront.start();
-    const { ticksBeforeEnds } = await front.play(BASE);
+    front = await BlockedLoopFront.start();
+    const { ticksBeforeLastDisconnect: ticksBeforeEnds } = await front.runCase(BASE);
     expect(ticksBeforeEnds).toEqual(0);
   });
 
   // Each turn of the loop accepts one connection: if requests were handled in every turn, later connections would wait for all of them.
   it('reads the requests on all connections that wait to be accepted before it handles one', async () => {
-    front = await HeldUpFront.start();
-    const { readBeforeFirst } = await front.play({ ...BASE, callers: 20, isKept: false, leaving: 'stay' });
+    front = await BlockedLoopFront.start();
+    const { readBeforeFirstAdmission: readBeforeFirst } = await front.runCase({
+      ...BASE,
+      callers: 20,
+      reusesConnections: false,
+      disconnection: 'stay',
+    });
     expect(readBeforeFirst).toEqual(20);
   });
 
   it('removes a pipelined request when its caller disconnects', async () => {
-    front = await HeldUpFront.start();
-    const { inFlight } = await front.play(CASES['two requests in one packet'] as HeldUpCase);
+    front = await BlockedLoopFront.start();
+    const { inFlight } = await front.runCase(CASES['two requests in one packet'] as BlockedLoopCase);
     expect(inFlight).toEqual(0);
   });
 });
--- a/test/runtime/test-store-client.ts
+++ b/test/runtime/test-store-client.ts
@@ -25,11 +25,11 @@
 
   // Each open connection that had gone silent cost one more call its time-out of 3 s.
   it('loses one time-out, and not one for each connection, when connections go silent', async () => {
-    server.holdUntil(CONNECTIONS);
+    server.holdResponsesUntil(CONNECTIONS);
     const reads = Array.from({ length: CONNECTIONS }, () => client.read(READ));
     expect((await Promise.all(reads)).every(({ result }) => result !== null)).toEqual(true);
     await new Promise((resolve) => setImmediate(resolve));
-    server.mute();
+    server.muteUsedConnections();
     expect((await client.read(READ)).result).toEqual(null);
     expect((await client.read(READ)).result).not.toEqual(null);
   });
--- a/test/soak/overload.ts
+++ b/test/soak/overload.ts
@@ -1,18 +1,18 @@
 /**
- * One daemon as a process with a small part of a processor, and callers that ask for several times what it can do: what they get by second. Started by
- * hand: `npm run overload -- --share 0.12 --rates 300,1200,2400`.
+ * Runs one daemon process on a small share of a processor under several times the load that it can serve, and prints the outcomes of each second. Started
+ * by hand: `npm run overload -- --share 0.12 --rates 300,1200,2400`.
  */
 import { mkdtempSync, rmSync } from 'node:fs';
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { parseArgs } from 'node:util';
 import { Worker } from 'node:worker_threads';
-import { configurationOf, freePorts, settingsOf } from './deployment.js';
-import { DaemonProcess, PROGRAM } from './daemon-process.js';
+import { createConfiguration, allocatePorts, createDaemonSettings } from './deployment.js';
+import { DaemonProcess, DEFAULT_PROGRAM } from './daemon-process.js';
 import { OverloadCallers } from './overload-callers.js';
-import { Promises } from './promises.js';
-import { ServerStandIn } from './server-stand-in.js';
-import { StoreStandIn } from './store-stand-in.js';
+import { PromiseChecker } from './promise-checker.js';
+import { FakeServer } from './fake-server.js';
+import { FakeStore } from './fake-store.js';
 
 const SERVERS = 30;
 const SETTLE_MILLISECONDS = 4_000;
@@ -20,12 +20,12 @@
 
 const { values } = parseArgs({
   options: {
-    program: { type: 'string', default: PROGRAM },
-    /** Of a processor, for the daemon. */
+    program: { type: 'string', default: DEFAULT_PROGRAM },
+    /** Share of a processor that the daemon gets. */
     share: { type: 'string', default: '0.12' },
-    /** Requests a second, one phase each. */
+    /** Requests per second of each phase. */
     rates: { type: 'string', default: '200,800,1600,200' },
-    /** Length of a phase in seconds. */
+    /** Length of each phase in seconds. */
     seconds: { type: 'string', default: '6' },
   },
 });
@@ -35,27 +35,27 @@
 }
 
 const folder = mkdtempSync(join(tmpdir(), 'fennelferry-overload-'));
-const store = new StoreStandIn();
-const promises = new Promises();
-const servers: ServerStandIn[] = [];
+const store = new FakeStore();
+const promises = new PromiseChecker();
+const servers: FakeServer[] = [];
 const storeAddress = await store.start();
-store.put('config', 'main', configurationOf(1));
+store.put('config', 'main', createConfiguration(1));
 for (let index = 0; index < SERVERS; index += 1) {
-  const server = new ServerStandIn(`s${index}`, 'plain', 'z0', false, promises);
+  const server = new FakeServer(`s${index}`, 'plain', 'z0', false, promises);
   await server.start();
   servers.push(server);
   const { id, service, address, zone } = server;
-  const rest = { version: '1', capacity: 50, state: 'ready', warmupLeftS: 0, sequence: 1 };
-  store.put('servers', id, { service, address, zone, ...rest });
+  const entryFields = { version: '1', capacity: 50, state: 'ready', warmupLeftS: 0, sequence: 1 };
+  store.put('servers', id, { service, address, zone, ...entryFields });
 }
-const [http, readiness, admin, peers] = (await freePorts(4)).map((port) => `127.0.0.1:${port}`) as [
+const [http, readiness, admin, peers] = (await allocatePorts(4)).map((port) => `127.0.0.1:${port}`) as [
   string,
   string,
   string,
   string,
 ];
 const ports = { http, readiness, admin, peers };
-const daemon = new DaemonProcess('d0', ports, settingsOf(0, ports, storeAddress), {
+const daemon = new DaemonProcess('d0', ports, createDaemonSettings(0, ports, storeAddress), {
   folder,
   program: values.program,
   suspends: false,
