--- a/src/explain/explain-request.ts
+++ b/src/explain/explain-request.ts
@@ -1,22 +1,22 @@
 /**
- * Tells the story of one request from the logs of any number of daemons: how each daemon that took it ended
- * it, and what was believed and done about its key, its servers and the leader just before.
+ * Explains one request from the logs of any number of daemons: how each daemon that received the request ended
+ * it, and which preceding events concern its key, its servers, its daemon or the leader.
  */
 import type { LogLine } from './log-line.js';
 
-/** What happened this long before a request arrived may explain its end. */
+/** Events from this long before a request arrived are included, since they may explain its outcome. */
 const LOOK_BACK_MILLISECONDS = 3_000;
-/** What a server has said of itself, and whether the loop is behind, holds until a later line says otherwise. */
+/** Events that set a state (a server's limit, event loop delay) which holds until a later event changes it. */
 const STANDING_EVENTS: ReadonlySet<string> = new Set([
   'server_names_limit',
   'server_limit_ended',
   'loop_behind',
   'loop_on_time',
 ]);
-/** Lines of beliefs told for one daemon's try. */
+/** Maximum number of preceding events listed for one request at one daemon; the latest are kept. */
 const MOST_BELIEFS = 25;
 
-/** The part of a request's line that the story is told from. */
+/** The log line that ended a request at one daemon, with the fields that the explanation needs. */
 interface RequestLine {
   readonly line: LogLine;
   readonly arrivedAt: number;
@@ -49,7 +49,7 @@
   };
 }
 
-/** Whether a text names a unit of the service that holds the key, as in `racks/0-511 to i-1`. */
+/** Whether a text names the unit of the service that contains the key, as in `racks/0-511 to i-1`. */
 function namesUnitOf(text: string, service: string, key: number): boolean {
   for (const [, name, from, to] of text.matchAll(/([^\s"/[]+)\/(\d+)-(\d+)/g)) {
     if (name === service && Number(from) <= key && key <= Number(to)) {
@@ -93,36 +93,38 @@
 function describeEnd({ line, key }: RequestLine): string[] {
   const attempts = Array.isArray(line['attempts']) ? line['attempts'].map(textOf) : [];
   const reason = textOf(line['reason'] ?? '');
-  const held = attempts.length === 0 ? '  it was sent to no server' : '';
+  const notSent = attempts.length === 0 ? '  the request was sent to no server' : '';
   const readDelay = line['read_delay'];
   return [
     `${line.time} ${line.daemon}: ${line.event} with ${textOf(line['status'])} after ${textOf(line['milliseconds'])} ms`,
     `  service ${textOf(line['service'])}, key ${key ?? 'none'}, route ${textOf(line['route'])}`,
     ...(reason === '' ? [] : [`  reason: ${reason}`]),
-    `  believed: configuration ${textOf(line['configuration'])}, servers ${textOf(line['servers'])}, ownership ${textOf(line['ownership'])}`,
+    `  versions in use: configuration ${textOf(line['configuration'])}, servers ${textOf(line['servers'])}, ownership ${textOf(line['ownership'])}`,
     ...(readDelay === undefined
       ? []
-      : [`  it may have waited unread for ${textOf(readDelay)} ms before: the loop was behind`]),
-    ...(held === '' ? [] : [held]),
+      : [
+          `  the request may have waited unread for another ${textOf(readDelay)} ms: the event loop was behind`,
+        ]),
+    ...(notSent === '' ? [] : [notSent]),
     ...attempts.map((attempt) => `  attempt at ${attempt}`),
   ];
 }
 
-/** The last word on the loop, and of each server that the request was for, where it came before the time that is looked back on. */
+/** Returns the latest state event of the event loop and of each server of the request from before the look-back time. */
 function standingLines(ordered: readonly LogLine[], request: RequestLine): LogLine[] {
-  const last = new Map<string, LogLine>();
+  const latest = new Map<string, LogLine>();
   for (const line of ordered) {
     const isEarlier = timeOf(line) < request.arrivedAt - LOOK_BACK_MILLISECONDS;
     const isOwn = line.daemon === request.line.daemon;
     if (isEarlier && isOwn && STANDING_EVENTS.has(line.event) && concerns(line, request)) {
-      last.set(textOf(line['server']), line);
+      latest.set(textOf(line['server']), line);
     }
   }
-  return [...last.values()];
+  return [...latest.values()];
 }
 
 /**
- * The story of a request, a line each; empty when no log names it.
+ * Returns the explanation of a request as lines of text; empty when no log contains the attempt id.
  *
  * @example
  * explainRequest('43c307df64f312b7', lines).join('\n');
@@ -131,15 +133,15 @@
   const ordered = [...lines].sort((left, right) => timeOf(left) - timeOf(right));
   const requests = ordered.filter((line) => line['attempt_id'] === attemptId).map(toRequestLine);
   return requests.flatMap((request) => {
-    const beliefs = ordered.filter((line) => {
+    const preceding = ordered.filter((line) => {
       const at = timeOf(line);
       const isNear = at >= request.arrivedAt - LOOK_BACK_MILLISECONDS && at <= request.endedAt;
       return isNear && line['attempt_id'] === undefined && concerns(line, request);
     });
-    const told = beliefs.slice(-MOST_BELIEFS).map(describeBelief);
-    const heading = told.length === 0 ? [] : ['  in the 3 s before its end:'];
-    const standing = standingLines(ordered, request).map(describeBelief);
-    const standingHeading = standing.length === 0 ? [] : ['  said before and not taken back:'];
-    return [...describeEnd(request), ...standingHeading, ...standing, ...heading, ...told];
+    const recent = preceding.slice(-MOST_BELIEFS).map(describeBelief);
+    const recentHeading = recent.length === 0 ? [] : ['  events from 3 s before its arrival until its end:'];
+    const state = standingLines(ordered, request).map(describeBelief);
+    const stateHeading = state.length === 0 ? [] : ['  state from earlier events, still in force:'];
+    return [...describeEnd(request), ...stateHeading, ...state, ...recentHeading, ...recent];
   });
 }
--- a/src/explain/log-line.ts
+++ b/src/explain/log-line.ts
@@ -1,4 +1,4 @@
-/** Lines of daemons' logs, read back. */
+/** Parses lines of daemon logs. */
 import * as z from 'zod';
 import { LOG_EVENTS, type LogEventName } from '../router/log-events.js';
 
@@ -9,10 +9,10 @@
   event: z.string().refine((event): event is LogEventName => event in LOG_EVENTS),
 });
 
-/** One line: who wrote it when, the event, and its fields. */
+/** One log line: time, daemon, event, and the fields of the event. */
 export type LogLine = z.infer<typeof lineSchema>;
 
-/** Reads one line; null when it is not a line of a daemon's log. What stands before the JSON is passed over. */
+/** Parses one line; returns null when it is not a daemon log line. A prefix before the JSON, such as a time and a host name, is ignored. */
 export function parseLogLine(text: string): LogLine | null {
   const start = text.indexOf('{"time"');
   if (start < 0) {
--- a/src/explain/loss-summary.ts
+++ b/src/explain/loss-summary.ts
@@ -1,7 +1,7 @@
-/** Where requests were lost, from the logs of any number of daemons: how many, by service, outcome and reason, and when. */
+/** Counts the requests that no server answered, by service, outcome and reason, from the logs of any number of daemons. */
 import type { LogLine } from './log-line.js';
 
-/** Events that end a request without a server's answer. */
+/** Events that end a request without a server's response. */
 const LOSS_EVENTS: ReadonlySet<string> = new Set([
   'request_refused',
   'request_failed',
@@ -10,38 +10,38 @@
 ]);
 const MILLISECONDS_PER_SECOND = 1_000;
 
-/** Requests that ended in one way. */
+/** Requests of one service that ended with the same outcome and reason. */
 export interface LossRow {
   readonly service: string;
   readonly outcome: string;
-  /** The reason without names of servers. */
+  /** The reason with server names replaced by `*`. */
   readonly reason: string;
   requests: number;
-  /** Of the first and the last one, in seconds since the first line of any log. */
+  /** When the first and the last of these requests ended, in seconds since the first line of any log. */
   firstSecond: number;
   lastSecond: number;
-  /** The second with the most of them, and how many those are. */
+  /** The second with the most of these requests, and their number in it. */
   worstSecond: number;
   inWorstSecond: number;
 }
 
-/** What the logs say of all requests. */
+/** Totals over all log lines given. */
 export interface LossSummary {
   readonly answered: number;
-  /** The most frequent first. */
+  /** Sorted by number of requests, largest first. */
   readonly rows: readonly LossRow[];
 }
 
-/** Names of servers are left out, so that equal reasons count together. */
+/** Replaces server names by `*`, so that reasons which differ only in the server count together. */
 function withoutNames(reason: string): string {
   return reason.replace(/\b[a-z]-[0-9a-z]+\b(#\d*)?/g, '*');
 }
 
-function textOf(value: unknown, otherwise: string): string {
-  return typeof value === 'string' && value !== '' ? value : otherwise;
+function textOf(value: unknown, fallback: string): string {
+  return typeof value === 'string' && value !== '' ? value : fallback;
 }
 
-/** Losses of one kind while they are counted. */
+/** Counts the losses of one row by second. */
 class LossCount {
   readonly #row: Omit<LossRow, 'requests' | 'firstSecond' | 'lastSecond' | 'worstSecond' | 'inWorstSecond'>;
   readonly #bySecond = new Map<number, number>();
@@ -67,13 +67,13 @@
 }
 
 /**
- * Counts the requests that no server answered. A try of a caller that is made again counts again.
+ * Counts the requests that no server answered. Each attempt of a caller counts separately.
  *
  * @example
  * summarizeLosses(lines).rows[0]?.reason;
  */
 export function summarizeLosses(lines: readonly LogLine[]): LossSummary {
-  const begin = lines.reduce(
+  const startTime = lines.reduce(
     (first, line) => Math.min(first, Date.parse(line.time)),
     Number.POSITIVE_INFINITY,
   );
@@ -84,10 +84,10 @@
     if (LOSS_EVENTS.has(line.event)) {
       const service = textOf(line['service'], 'none');
       const reason = withoutNames(textOf(line['reason'], 'none'));
-      const name = `${service} ${line.event} ${reason}`;
-      const count = counts.get(name) ?? new LossCount(service, line.event, reason);
-      counts.set(name, count);
-      count.add(Math.floor((Date.parse(line.time) - begin) / MILLISECONDS_PER_SECOND));
+      const groupKey = `${service} ${line.event} ${reason}`;
+      const count = counts.get(groupKey) ?? new LossCount(service, line.event, reason);
+      counts.set(groupKey, count);
+      count.add(Math.floor((Date.parse(line.time) - startTime) / MILLISECONDS_PER_SECOND));
     }
   }
   const rows = [...counts.values()].map((count) => count.finish());
--- a/test/explain/test-explain.ts
+++ b/test/explain/test-explain.ts
@@ -12,7 +12,7 @@
     JSON.stringify({ time, uptime_ms: second * 1_000, level: 'info', daemon, event, ...fields }),
   );
   if (parsed === null) {
-    throw new Error('the line cannot be read');
+    throw new Error('the log line is invalid');
   }
   return parsed;
 }
@@ -42,17 +42,17 @@
 ];
 
 describe('explaining a request', () => {
-  it('tells its end, the versions it was decided by, and what concerned its key and servers', () => {
-    const story = explainRequest('a1', LINES).join('\n');
-    expect(story.includes('d1: request_refused with 503 after 40 ms')).toEqual(true);
-    expect(story.includes('it was sent to no server')).toEqual(true);
-    expect(story.includes('ownership 2.70.0001')).toEqual(true);
-    expect(story.includes('racks/256-511')).toEqual(true);
-    expect(story.includes('server=i-2')).toEqual(true);
-    expect(story.includes('leadership_lost')).toEqual(true);
+  it('states its outcome, the versions in use, and the events that concern its key and servers', () => {
+    const explanation = explainRequest('a1', LINES).join('\n');
+    expect(explanation.includes('d1: request_refused with 503 after 40 ms')).toEqual(true);
+    expect(explanation.includes('the request was sent to no server')).toEqual(true);
+    expect(explanation.includes('ownership 2.70.0001')).toEqual(true);
+    expect(explanation.includes('racks/256-511')).toEqual(true);
+    expect(explanation.includes('server=i-2')).toEqual(true);
+    expect(explanation.includes('leadership_lost')).toEqual(true);
   });
 
-  it('names the limit of a server that a request was kept from, however long ago it was named', () => {
+  it('states the current limit of the server that a request was refused for, however long ago the limit was set', () => {
     const reason = 'the limit of the owner i-2#17 leaves no place in time';
     const limit = { server: 'i-2#17', service: 'racks', former: null, limit: 3, source: 'parent', age: 4 };
     const lines = [
@@ -61,25 +61,25 @@
       line(2, 'd1', 'server_names_limit', { ...limit, former: 3, limit: 2.5 }),
       line(40, 'd1', 'request_refused', { ...REQUEST, reason }),
     ];
-    const story = explainRequest('a1', lines).join('\n');
-    expect(story.includes('said before and not taken back')).toEqual(true);
-    expect(story.includes('limit=2.5')).toEqual(true);
-    expect(story.includes('limit=3')).toEqual(false);
-    expect(story.includes('limit=5')).toEqual(false);
+    const explanation = explainRequest('a1', lines).join('\n');
+    expect(explanation.includes('state from earlier events, still in force')).toEqual(true);
+    expect(explanation.includes('limit=2.5')).toEqual(true);
+    expect(explanation.includes('limit=3')).toEqual(false);
+    expect(explanation.includes('limit=5')).toEqual(false);
   });
 
-  it('leaves out other keys, other servers and what was long ago', () => {
-    const story = explainRequest('a1', LINES).join('\n');
-    expect(story.includes('racks/512-600')).toEqual(false);
-    expect(story.includes('i-7')).toEqual(false);
-    expect(story.includes('leadership_won')).toEqual(false);
+  it('omits events of other keys, of other servers and from before the look-back time', () => {
+    const explanation = explainRequest('a1', LINES).join('\n');
+    expect(explanation.includes('racks/512-600')).toEqual(false);
+    expect(explanation.includes('i-7')).toEqual(false);
+    expect(explanation.includes('leadership_won')).toEqual(false);
   });
 
-  it('says nothing of a request that no log names', () => {
+  it('returns no lines for an attempt id that no log contains', () => {
     expect(explainRequest('a2', LINES)).toEqual([]);
   });
 
-  it('reads lines with something before them, and passes over what is no line of a daemon', () => {
+  it('parses lines with a prefix before the JSON and ignores lines that are no daemon log lines', () => {
     const text = JSON.stringify(LINES[0]);
     expect(parseLogLine(` 10.1 front-1 ${text}`)?.['attempt_id']).toEqual('a1');
     expect(parseLogLine('{"time":"x"}')).toEqual(null);
@@ -87,8 +87,8 @@
   });
 });
 
-describe('the summary of losses', () => {
-  it('counts by service, outcome and reason, without names of servers, and says when', () => {
+describe('loss summary', () => {
+  it('counts by service, outcome and reason without server names, with the first, last and worst second', () => {
     const other = { ...REQUEST, attempt_id: 'a2', reason: 'the key is on its way to i-3' };
     const answered = line(11, 'd1', 'request_answered', { ...REQUEST, attempt_id: 'a3', reason: '' });
     const left = line(12, 'd1', 'caller_left', { ...REQUEST, attempt_id: 'a4', reason: 'gone' });
@@ -109,14 +109,14 @@
   });
 });
 
-describe('the page of log events', () => {
-  it('is the one that the catalogue makes', () => {
+describe('log events page', () => {
+  it('matches the page generated from the catalogue', () => {
     expect(readFileSync('docs/operators/logs.md', 'utf8')).toEqual(logPage());
   });
 });
 
-describe('losses of requests for several lives of a server', () => {
-  it('count together', () => {
+describe('losses of requests for several incarnations of a server', () => {
+  it('are counted in one row', () => {
     const lines = ['i-2#17', 'i-2#18', 'i-3'].map((server, index) =>
       line(10 + index, 'd1', 'request_refused', { ...REQUEST, reason: `the owner ${server} is full` }),
     );
