--- a/src/command-line/check-router-settings-command.ts
+++ b/src/command-line/check-router-settings-command.ts
@@ -1,4 +1,4 @@
-/** `fennelferry check-router-settings`: checks the settings of a router daemon without starting it. */
+/** `fennelferry check-router-settings`: checks the settings file of a router daemon without starting it. */
 import { Command, Option } from 'clipanion';
 import { readRouterSettings } from '../router/router-settings.js';
 import { EXIT_BAD_INPUT, EXIT_OK } from './exit-codes.js';
@@ -20,7 +20,7 @@
       this.context.stderr.write(`${settings.error.message}\n`);
       return Promise.resolve(EXIT_BAD_INPUT);
     }
-    this.context.stdout.write(`${this.settings}: good\n`);
+    this.context.stdout.write(`${this.settings}: valid\n`);
     return Promise.resolve(EXIT_OK);
   }
 }
--- a/src/command-line/emulate-command.ts
+++ b/src/command-line/emulate-command.ts
@@ -1,6 +1,6 @@
 /**
- * `fennelferry emulate store` and `fennelferry emulate servers`: stand-ins for the platform and the
- * users' servers, as processes of their own.
+ * `fennelferry emulate store` and `fennelferry emulate servers`: run an emulated object store of the platform
+ * and emulated upstream servers, each as a separate process.
  */
 import { Command, Option } from 'clipanion';
 import { isNumber } from 'typanion';
@@ -24,7 +24,7 @@
   });
   readonly serverPorts = Option.String('--server-ports', '7500', {
     validator: isNumber(),
-    description: 'Port of the first server; the others follow',
+    description: 'Port of the first server; the others use the ports after it',
   });
 
   protected findSystem(): SystemShape | null {
@@ -41,19 +41,19 @@
   }
 }
 
-/** The platform's store, holding the routing configuration of a system. */
+/** Runs an emulated platform store that holds the routing configuration of a system. */
 export class EmulateStoreCommand extends EmulateCommand {
   static override paths = [['emulate', 'store']];
   static override usage = Command.Usage({
-    description: "Run a stand-in for the platform's store",
+    description: "Run an emulation of the platform's object store",
     examples: [
       ['With the device lab', 'fennelferry emulate store --system klang-valley --address 127.0.0.1:7400'],
     ],
   });
-  readonly address = Option.String('--address', '127.0.0.1:7400', { description: 'Where to listen' });
+  readonly address = Option.String('--address', '127.0.0.1:7400', { description: 'Address to listen on' });
   readonly readers = Option.String('--readers', String(DEFAULT_READERS), {
     validator: isNumber(),
-    description: 'How many may wait for changes at once',
+    description: 'Maximum number of readers that wait for changes at once',
   });
 
   async execute(): Promise<number> {
@@ -67,28 +67,30 @@
       mostReaders: this.readers,
       objects: { routing },
     });
-    this.context.stdout.write(`store of ${system.name} at ${this.address}\n`);
+    this.context.stdout.write(`emulated store of ${system.name} listening on ${this.address}\n`);
     await untilStopped();
     stop();
     return EXIT_OK;
   }
 }
 
-/** Servers of a system. */
+/** Runs emulated servers of a system. */
 export class EmulateServersCommand extends EmulateCommand {
   static override paths = [['emulate', 'servers']];
   static override usage = Command.Usage({
-    description: "Run stand-ins for a user's servers",
+    description: "Run emulations of a user's upstream servers",
     examples: [
       ['All of the device lab', 'fennelferry emulate servers --system klang-valley'],
-      ['Two of them', 'fennelferry emulate servers --only rakstatus-01,rakstatus-02'],
+      ['Two of the servers', 'fennelferry emulate servers --only rakstatus-01,rakstatus-02'],
     ],
   });
-  readonly only = Option.String('--only', { description: 'Run just these, by comma' });
+  readonly only = Option.String('--only', { description: 'Run only these servers (comma-separated ids)' });
   readonly instant = Option.Boolean('--instant', false, {
-    description: 'Answer at once: for load on a daemon',
+    description: 'Answer without delay, to load-test a daemon',
+  });
+  readonly except = Option.String('--except', {
+    description: 'Run all servers but these (comma-separated ids)',
   });
-  readonly except = Option.String('--except', { description: 'Run all but these, by comma' });
 
   async execute(): Promise<number> {
     const system = this.findSystem();
@@ -107,7 +109,7 @@
     const behaviour = this.instant ? INSTANT_BEHAVIOUR : system.behaviour;
     const running = wanted.map((server) => new ServerProcess(server.id, behaviour));
     await Promise.all(running.map((server, index) => server.start(wanted[index]?.address ?? '')));
-    this.context.stdout.write(`${running.length} servers of ${system.name} run\n`);
+    this.context.stdout.write(`running ${running.length} emulated servers of ${system.name}\n`);
     await untilStopped();
     running.forEach((server) => server.stop());
     return EXIT_OK;
--- a/src/command-line/exit-codes.ts
+++ b/src/command-line/exit-codes.ts
@@ -2,11 +2,11 @@
  * Exit codes of the command line; docs/operators/install-and-run.md lists them.
  */
 
-/** Done. */
+/** The command succeeded. */
 export const EXIT_OK = 0;
-/** A command was refused, a check failed, or a promise was broken in a simulation. */
+/** A command was rejected, a check failed, or a simulation violated a guarantee. */
 export const EXIT_FAILED = 1;
-/** The input was wrong: a settings file, a statement, a flag. */
+/** Invalid input: a settings file, a statement or a flag. */
 export const EXIT_BAD_INPUT = 2;
-/** A daemon or a port could not be reached or opened. */
+/** A daemon could not be reached, or a port could not be opened. */
 export const EXIT_UNREACHABLE = 3;
--- a/src/command-line/explain-command.ts
+++ b/src/command-line/explain-command.ts
@@ -1,4 +1,4 @@
-/** `fennelferry explain`: what became of one request, from the logs of any number of daemons. */
+/** `fennelferry explain`: explains the outcome of one request from the logs of any number of daemons. */
 import { Command, Option } from 'clipanion';
 import { explainRequest } from '../explain/explain-request.js';
 import { EXIT_BAD_INPUT, EXIT_OK, EXIT_FAILED } from './exit-codes.js';
@@ -7,8 +7,8 @@
 export class ExplainCommand extends Command {
   static override paths = [['explain']];
   static override usage = Command.Usage({
-    description: 'Tell what became of one request, from the logs of any number of daemons',
-    details: 'Without files the logs are read from standard input.',
+    description: 'Explain the outcome of one request from the logs of any number of daemons',
+    details: 'Without files, the logs are read from standard input.',
     examples: [['Explain a request', 'fennelferry explain 43c307df64f312b7 daemon-1.log daemon-2.log']],
   });
   readonly attemptId = Option.String({ name: 'attempt-id' });
@@ -20,14 +20,14 @@
       this.context.stderr.write(`${logs.error}\n`);
       return EXIT_BAD_INPUT;
     }
-    const story = explainRequest(this.attemptId, logs.value);
-    if (story.length === 0) {
+    const explanation = explainRequest(this.attemptId, logs.value);
+    if (explanation.length === 0) {
       this.context.stderr.write(
-        `no line names ${this.attemptId} among ${logs.value.length}: are the logs of every daemon here, and were lines dropped (log_lines_dropped)?\n`,
+        `none of ${logs.value.length} log lines contains the attempt id ${this.attemptId}: check that the logs of every daemon are given and that no lines were dropped (log_lines_dropped)\n`,
       );
       return EXIT_FAILED;
     }
-    this.context.stdout.write(`${story.join('\n')}\n`);
+    this.context.stdout.write(`${explanation.join('\n')}\n`);
     return EXIT_OK;
   }
 }
--- a/src/command-line/limits-command.ts
+++ b/src/command-line/limits-command.ts
@@ -1,4 +1,4 @@
-/** `fennelferry limits`: the servers that name limits, as daemons see them, and what each daemon gets. */
+/** `fennelferry limits`: lists the servers with rate limits as each daemon sees them, and the share of each daemon. */
 import { Command, Option } from 'clipanion';
 import { err, ok, type Result } from 'neverthrow';
 import { request } from 'undici';
@@ -26,8 +26,8 @@
   }
 }
 
-function seconds(time: number): string {
-  return `${(time / MILLISECONDS_PER_SECOND).toFixed(1)} s`;
+function seconds(milliseconds: number): string {
+  return `${(milliseconds / MILLISECONDS_PER_SECOND).toFixed(1)} s`;
 }
 
 function describeShares({ shares }: LimitOverview): string {
@@ -40,20 +40,21 @@
 export class LimitsCommand extends Command {
   static override paths = [['limits']];
   static override usage = Command.Usage({
-    description: 'List the servers that name limits, since when, and what each daemon gets of them',
-    details: 'Shares are requests a second in the last seconds; only the leader knows them.',
+    description: 'List the servers that announce rate limits, for how long, and the share of each daemon',
+    details:
+      'A share is the rate of permits granted to a daemon in the last seconds, in requests per second; only the leader knows it.',
     examples: [['Ask three daemons', 'fennelferry limits 10.0.0.1:7101 10.0.0.2:7101 10.0.0.3:7101']],
   });
   readonly addresses = Option.Rest({ name: 'operators-addresses', required: 1 });
 
   override async execute(): Promise<number> {
     const { stdout, stderr } = this.context;
-    let exit = EXIT_OK;
+    let exitCode = EXIT_OK;
     for (const address of this.addresses) {
       const limits = await readLimits(address);
       if (limits.isErr()) {
         stderr.write(`${limits.error.message}\n`);
-        exit = EXIT_UNREACHABLE;
+        exitCode = EXIT_UNREACHABLE;
         continue;
       }
       stdout.write(`${address}: ${limits.value.length} servers with limits\n`);
@@ -68,6 +69,6 @@
       }));
       stdout.write(rows.length === 0 ? '' : formatRows(rows));
     }
-    return exit;
+    return exitCode;
   }
 }
--- a/src/command-line/load-command.ts
+++ b/src/command-line/load-command.ts
@@ -1,5 +1,5 @@
 /**
- * `fennelferry load`: open-loop load on daemons, with the mix of a user's system.
+ * `fennelferry load`: sends open-loop load to daemons, with the routes of a user's system.
  */
 import { Command, Option } from 'clipanion';
 import { isNumber } from 'typanion';
@@ -15,13 +15,13 @@
   return /^(127\.\d+\.\d+\.\d+|\[::1\]):\d+$/.test(address);
 }
 
-/** Sends load and prints what came of it. */
+/** Sends load and prints latencies, outcomes and balance. */
 export class LoadCommand extends Command {
   static override paths = [['load']];
   static override usage = Command.Usage({
     description: 'Send load to daemons on this machine',
     details:
-      "Arrivals do not wait for answers; latency counts from when a request was due; up to 5 ms of it are this tool's steps.",
+      'Requests are sent at the rate without waiting for responses. Latency is measured from the time a request was due; up to 5 ms of it come from the 5 ms steps in which this tool sends.',
     examples: [
       [
         '500 requests a second for 10 s',
@@ -30,21 +30,27 @@
     ],
   });
   readonly targets = Option.String('--targets', '127.0.0.1:7001', {
-    description: 'Daemons, by comma; loopback only',
+    description: 'Comma-separated daemon addresses; loopback only',
   });
   readonly system = Option.String('--system', 'klang-valley', {
-    description: `Whose mix of routes: ${SYSTEMS.map((system) => system.name).join(' or ')}`,
+    description: `System whose routes are requested: ${SYSTEMS.map((system) => system.name).join(' or ')}`,
+  });
+  readonly rate = Option.String('--rate', '200', {
+    validator: isNumber(),
+    description: 'Requests per second',
+  });
+  readonly seconds = Option.String('--seconds', '10', {
+    validator: isNumber(),
+    description: 'Duration of the run in seconds',
   });
-  readonly rate = Option.String('--rate', '200', { validator: isNumber(), description: 'Requests a second' });
-  readonly seconds = Option.String('--seconds', '10', { validator: isNumber(), description: 'How long' });
   readonly keys = Option.String('--keys', '1000', { validator: isNumber(), description: 'Number of keys' });
   readonly exponent = Option.String('--zipf', '1', {
     validator: isNumber(),
-    description: 'Exponent of the popularity',
+    description: 'Exponent of the Zipf distribution of keys',
   });
   readonly hot = Option.String('--hot-seconds', '0', {
     validator: isNumber(),
-    description: 'Hot keys change this often; 0: never',
+    description: 'Seconds between changes of the hot keys; 0: never',
   });
   readonly connections = Option.String('--connections', '64', {
     validator: isNumber(),
@@ -52,15 +58,15 @@
   });
   readonly seed = Option.String('--seed', '1', {
     validator: isNumber(),
-    description: 'Seed of the random choices',
+    description: 'Seed of the random number generator',
   });
   readonly json = Option.Boolean('--json', false, { description: 'Print JSON' });
 
   async execute(): Promise<number> {
-    const fault = this.#fault();
+    const flagError = this.#flagError();
     const system = findSystem(this.system);
-    if (fault !== null || system === undefined) {
-      this.context.stderr.write(`${fault ?? `--system: found ${this.system}`}\n`);
+    if (flagError !== null || system === undefined) {
+      this.context.stderr.write(`${flagError ?? `--system: found ${this.system}`}\n`);
       return EXIT_BAD_INPUT;
     }
     const { routes } = configurationOf(system, () => '127.0.0.1:1');
@@ -79,10 +85,10 @@
     return EXIT_OK;
   }
 
-  #fault(): string | null {
-    const strangers = this.targets.split(',').filter((target) => !isLoopback(target));
-    if (strangers.length > 0) {
-      return `--targets: found ${strangers.join(', ')}; allowed: loopback addresses with a port`;
+  #flagError(): string | null {
+    const nonLoopback = this.targets.split(',').filter((target) => !isLoopback(target));
+    if (nonLoopback.length > 0) {
+      return `--targets: found ${nonLoopback.join(', ')}; allowed: loopback addresses with a port`;
     }
     if (!(this.rate > 0 && this.rate <= MOST_REQUESTS_PER_SECOND)) {
       return `--rate: found ${this.rate}; allowed: up to ${MOST_REQUESTS_PER_SECOND}`;
@@ -109,6 +115,6 @@
     const imbalance = Object.entries(figures.imbalance).map(
       ([group, value]) => `${group} ${value.toFixed(2)}`,
     );
-    return `${formatRows(rows)}latencies in ms; busiest server over the mean: ${imbalance.join(', ')}; longest without an answer for a hot key: ${Math.round(figures.longestWithoutAnswer)} ms\n`;
+    return `${formatRows(rows)}latencies in ms; requests of the busiest server relative to the group's mean: ${imbalance.join(', ')}; longest time without an answer for a hot key: ${Math.round(figures.longestWithoutAnswer)} ms\n`;
   }
 }
--- a/src/command-line/logging.ts
+++ b/src/command-line/logging.ts
@@ -1,9 +1,9 @@
 /**
- * Logs by the `consola` library: for people by default, one JSON object a line for machines.
+ * Log output through the `consola` library: readable text by default, or one JSON object per line.
  */
 import { createConsola, type ConsolaInstance } from 'consola';
 
-/** A logger that stamps each line with who speaks. */
+/** Returns a logger that marks each line with the tag, the daemon's id. */
 export function createLog(tag: string, json: boolean): ConsolaInstance {
   if (!json) {
     return createConsola({ fancy: false, formatOptions: { date: true, colors: false } }).withTag(tag);
--- a/src/command-line/losses-command.ts
+++ b/src/command-line/losses-command.ts
@@ -1,4 +1,4 @@
-/** `fennelferry losses`: which requests no server answered, why and when, from the logs of any number of daemons. */
+/** `fennelferry losses`: counts the requests that no server answered, from the logs of any number of daemons. */
 import { Command, Option } from 'clipanion';
 import { summarizeLosses } from '../explain/loss-summary.js';
 import { EXIT_BAD_INPUT, EXIT_FAILED, EXIT_OK } from './exit-codes.js';
@@ -10,7 +10,7 @@
   static override usage = Command.Usage({
     description: 'Count the requests that no server answered, by service, outcome and reason',
     details:
-      'Seconds count from the first line of any log. Each try of a caller counts. Without files the logs are read from standard input.',
+      'Seconds are counted from the first line of any log. Each attempt of a caller counts separately. Without files, the logs are read from standard input.',
     examples: [['Where requests were lost', 'fennelferry losses daemon-1.log daemon-2.log']],
   });
   readonly files = Option.Rest({ name: 'files' });
@@ -22,7 +22,9 @@
       return EXIT_BAD_INPUT;
     }
     if (logs.value.length === 0) {
-      this.context.stderr.write('no line of a daemon was found: are these logs of `fennelferry` routers?\n');
+      this.context.stderr.write(
+        'no daemon log line found: check that these are logs of `fennelferry` routers\n',
+      );
       return EXIT_FAILED;
     }
     const { answered, rows } = summarizeLosses(logs.value);
--- a/src/command-line/query-command.ts
+++ b/src/command-line/query-command.ts
@@ -1,5 +1,5 @@
 /**
- * `fennelferry query`: one statement of the query and command language, asked of one daemon.
+ * `fennelferry query`: sends one statement of the query and command language to one daemon.
  */
 import { Command, Option } from 'clipanion';
 import { askAdmin } from '../admin/admin-client.js';
@@ -8,12 +8,12 @@
 
 const BAD_REQUEST = 400;
 
-/** Asks and prints. */
+/** Sends a statement and prints the answer. */
 export class QueryCommand extends Command {
   static override paths = [['query']];
   static override usage = Command.Usage({
-    description: 'Ask a daemon, or give it a command',
-    details: 'docs/LANGUAGE.md lists every form.',
+    description: 'Send a query or a command to a daemon',
+    details: 'docs/LANGUAGE.md lists every form of statement.',
     examples: [
       ['Who owns a key', `fennelferry query "show owner of key 'rack-7' in rakstatus"`],
       ['Move a unit', `fennelferry query "move unit 12 in rakstatus to rakstatus-05"`],
@@ -21,7 +21,9 @@
   });
   readonly statement = Option.String({ name: 'statement' });
   readonly admin = Option.String('--admin', '127.0.0.1:7101', { description: "A daemon's admin address" });
-  readonly operator = Option.String('--operator', 'operator', { description: 'Who asks' });
+  readonly operator = Option.String('--operator', 'operator', {
+    description: 'Name of the operator who sends the statement',
+  });
   readonly json = Option.Boolean('--json', false, { description: 'Print JSON' });
 
   async execute(): Promise<number> {
--- a/src/command-line/read-logs.ts
+++ b/src/command-line/read-logs.ts
@@ -1,4 +1,4 @@
-/** Reads the logs of daemons from files, or from standard input when there are none. */
+/** Reads daemon logs from files, or from standard input when no files are given. */
 import { ResultAsync } from 'neverthrow';
 import { createReadStream } from 'node:fs';
 import { createInterface } from 'node:readline/promises';
@@ -25,7 +25,7 @@
   return lines;
 }
 
-/** Every line of daemons in the files, or a message that says what cannot be read. */
+/** Returns every daemon log line in the files, or a message about the file that cannot be read. */
 export function readLogs(files: readonly string[], standardInput: Readable): ResultAsync<LogLine[], string> {
   return ResultAsync.fromPromise(readAll(files, standardInput), (cause) => {
     return `cannot read the logs: ${cause instanceof Error ? cause.message : String(cause)}`;
--- a/src/command-line/serve-command.ts
+++ b/src/command-line/serve-command.ts
@@ -1,5 +1,5 @@
 /**
- * `fennelferry serve` and `fennelferry check-settings`.
+ * `fennelferry serve` runs a daemon; `fennelferry check-settings` checks its settings file.
  */
 import { Command, Option } from 'clipanion';
 import { Daemon } from '../runtime/daemon.js';
@@ -15,12 +15,12 @@
   readonly id = Option.String('--id', { description: "Overrides the file's id" });
   readonly zone = Option.String('--zone', { description: "Overrides the file's zone" });
   readonly side = Option.String('--side', { description: "Overrides the file's side" });
-  readonly http = Option.String('--http', { description: 'Overrides listen.http, the port for callers' });
+  readonly http = Option.String('--http', { description: 'Overrides listen.http, the address for callers' });
   readonly admin = Option.String('--admin', {
-    description: 'Overrides listen.admin, the port for operators',
+    description: 'Overrides listen.admin, the address for operators',
   });
   readonly internal = Option.String('--internal', {
-    description: 'Overrides listen.internal, the port for daemons',
+    description: 'Overrides listen.internal, the address for other daemons',
   });
   readonly store = Option.String('--store', { description: "Overrides the address of the platform's store" });
 
@@ -35,10 +35,12 @@
   static override paths = [['serve']];
   static override usage = Command.Usage({
     description: 'Run a daemon',
-    details: 'Stops on SIGTERM or SIGINT: it takes no new requests and finishes those in flight.',
+    details: 'On SIGTERM or SIGINT the daemon accepts no new requests, finishes those in flight and exits.',
     examples: [['Run with a settings file', 'fennelferry serve --settings daemon.yaml']],
   });
-  readonly jsonLogs = Option.Boolean('--json-logs', false, { description: 'One JSON object a log line' });
+  readonly jsonLogs = Option.Boolean('--json-logs', false, {
+    description: 'Write each log line as a JSON object',
+  });
 
   async execute(): Promise<number> {
     const settings = readSettings(this.settings, this.overrides());
@@ -77,7 +79,7 @@
       this.context.stderr.write(`${settings.error.message}\n`);
       return Promise.resolve(EXIT_BAD_INPUT);
     }
-    this.context.stdout.write(`${this.settings}: good\n`);
+    this.context.stdout.write(`${this.settings}: valid\n`);
     return Promise.resolve(EXIT_OK);
   }
 }
--- a/src/command-line/simulate-command.ts
+++ b/src/command-line/simulate-command.ts
@@ -1,5 +1,5 @@
 /**
- * `fennelferry simulate`: runs scenarios in virtual time and checks the promises.
+ * `fennelferry simulate`: runs scenarios in virtual time and checks the system's guarantees.
  */
 import { Command, Option } from 'clipanion';
 import { MUTATIONS, type Mutation } from '../simulation/mutations.js';
@@ -22,16 +22,17 @@
   return { first, last: Number(match[2] ?? first) };
 }
 
-/** Runs scenarios, or checks that planted bugs are noticed. */
+/** Runs scenarios, or checks that the simulation detects planted bugs. */
 export class SimulateCommand extends Command {
   static override paths = [['simulate']];
   static override usage = Command.Usage({
-    description: 'Run the system in virtual time under faults and check the promises',
-    details: 'Exits 1 when a promise is broken (or, with --mutation, when a planted bug goes unseen).',
+    description: 'Run the system in virtual time under faults and check its guarantees',
+    details:
+      'Exits with 1 when a guarantee is violated (or, with --mutation, when a planted bug is not detected).',
     examples: [
       ['Each fault alone', 'fennelferry simulate --scenario singles --seeds 1..5'],
       ['A pair of faults', 'fennelferry simulate --scenario leader-crash+server-freeze --seeds 1..20'],
-      ['What happened in one seed', 'fennelferry simulate --scenario partition --replay 7'],
+      ['Timeline of one seed', 'fennelferry simulate --scenario partition --replay 7'],
       ['All planted bugs', 'fennelferry simulate --mutation all'],
     ],
   });
@@ -42,11 +43,11 @@
   readonly system = Option.String('--system', 'klang-valley', {
     description: `One of ${SYSTEMS.map((system) => system.name).join(', ')}`,
   });
-  readonly replay = Option.String('--replay', { description: 'Print what happened in this seed' });
+  readonly replay = Option.String('--replay', { description: 'Print the timeline of this seed' });
   readonly mutation = Option.String('--mutation', {
     description: `all, or one of ${MUTATIONS.map((mutation) => mutation.name).join(', ')}`,
   });
-  readonly json = Option.Boolean('--json', false, { description: 'One JSON object a run' });
+  readonly json = Option.Boolean('--json', false, { description: 'Print one JSON object per run' });
 
   override execute(): Promise<number> {
     if (this.mutation !== undefined) {
@@ -54,8 +55,8 @@
     }
     const scenarios = this.#scenarios();
     const seeds = parseSeeds(this.replay ?? this.seeds);
-    const systemKnown = SYSTEMS.some((system) => system.name === this.system);
-    if (scenarios === null || seeds === null || !systemKnown) {
+    const isKnownSystem = SYSTEMS.some((system) => system.name === this.system);
+    if (scenarios === null || seeds === null || !isKnownSystem) {
       this.context.stderr.write('unknown --scenario, --seeds, --replay or --system; see --help\n');
       return Promise.resolve(EXIT_BAD_INPUT);
     }
@@ -76,7 +77,7 @@
   #runAll(scenarios: readonly Scenario[], seeds: SeedRange): number {
     let events = 0;
     let violations = 0;
-    let slowest = 0;
+    let longestOutage = 0;
     let runs = 0;
     for (const scenario of scenarios) {
       for (let seed = seeds.first; seed <= seeds.last; seed += 1) {
@@ -86,7 +87,7 @@
         runs += 1;
         events += result.events;
         violations += result.violations.length;
-        slowest = Math.max(slowest, result.longestOutage);
+        longestOutage = Math.max(longestOutage, result.longestOutage);
       }
     }
     const summary = {
@@ -94,12 +95,12 @@
       seeds: `${seeds.first}..${seeds.last}`,
       events,
       violations,
-      slowestRecovery: slowest,
+      slowestRecovery: longestOutage,
     };
     this.context.stdout.write(
       this.json
         ? `${JSON.stringify(summary)}\n`
-        : `runs ${runs}, seeds ${summary.seeds}, events ${events}, violations ${violations}, longest unavailable time ${slowest} ms\n`,
+        : `runs ${runs}, seeds ${summary.seeds}, events ${events}, violations ${violations}, longest unavailable time ${longestOutage} ms\n`,
     );
     return violations === 0 ? EXIT_OK : EXIT_FAILED;
   }
@@ -122,26 +123,28 @@
   #runMutations(name: string): number {
     const chosen = MUTATIONS.filter((mutation) => name === 'all' || mutation.name === name);
     if (chosen.length === 0) {
-      this.context.stderr.write(`--mutation: found ${name}; see --help\n`);
+      this.context.stderr.write(`unknown --mutation ${name}; see --help\n`);
       return EXIT_BAD_INPUT;
     }
-    const unseen = chosen.filter((mutation) => !this.#isNoticed(mutation));
-    this.context.stdout.write(`planted bugs ${chosen.length}, noticed ${chosen.length - unseen.length}\n`);
-    return unseen.length === 0 ? EXIT_OK : EXIT_FAILED;
+    const undetected = chosen.filter((mutation) => !this.#isDetected(mutation));
+    this.context.stdout.write(
+      `planted bugs ${chosen.length}, detected ${chosen.length - undetected.length}\n`,
+    );
+    return undetected.length === 0 ? EXIT_OK : EXIT_FAILED;
   }
 
-  #isNoticed(mutation: Mutation): boolean {
+  #isDetected(mutation: Mutation): boolean {
     const { name, faults, rules, twoSides = false } = mutation;
     for (let seed = 1; seed <= mutation.seeds; seed += 1) {
       const run = { scenario: { name, faults, twoSides }, seed, system: this.system };
       const [first] = runScenario({ ...run, rules }).violations;
-      // What is broken with every rule in force says nothing about the planted bug.
+      // A violation counts only if the same seed passes without the planted bug; otherwise it has another cause.
       if (first !== undefined && runScenario(run).violations.length === 0) {
-        this.context.stdout.write(`${name}: noticed in seed ${seed} (${first.promise})\n`);
+        this.context.stdout.write(`${name}: detected in seed ${seed} (${first.promise})\n`);
         return true;
       }
     }
-    this.context.stdout.write(`${name}: NOT noticed within ${mutation.seeds} seeds\n`);
+    this.context.stdout.write(`${name}: NOT detected within ${mutation.seeds} seeds\n`);
     return false;
   }
 }
--- a/src/command-line/table-format.ts
+++ b/src/command-line/table-format.ts
@@ -1,9 +1,9 @@
 /**
- * Rows as an aligned table for people.
+ * Formats rows as an aligned text table.
  */
 import type { Row } from '../admin/queries.js';
 
-/** The rows under their column names, or a line that says there are none. */
+/** Returns the rows under a header of column names, or the line `none` when there are no rows. */
 export function formatRows(rows: readonly Row[]): string {
   const [first] = rows;
   if (first === undefined) {
--- a/src/command-line/version.ts
+++ b/src/command-line/version.ts
@@ -1,11 +1,11 @@
 /**
- * The version of this program, as package.json states it.
+ * The version of this program, read from package.json.
  */
 import { readFileSync } from 'node:fs';
 
 const PACKAGE = new URL('../../../package.json', import.meta.url);
 
-/** The version, for example `0.1.0`. */
+/** Returns the version, for example `0.1.0`. */
 export function programVersion(): string {
   return (JSON.parse(readFileSync(PACKAGE, 'utf8')) as { version: string }).version;
 }
