--- a/src/admin/admin-app.ts
+++ b/src/admin/admin-app.ts
@@ -1,7 +1,7 @@
 /**
  * The admin API of a daemon: statements, metrics and health.
  *
- * - `POST /statement` with `{statement, operator?}`: `{rows}`, or `{accepted, detail}`, or a problem body.
+ * - `POST /statement` with `{statement, operator?}` returns `{rows}`, `{accepted, detail}` or a problem body.
  * - `GET /metrics`, `GET /health/live`, `GET /health/ready`.
  */
 import { Hono } from 'hono';
@@ -17,17 +17,17 @@
 import type { Statement } from './language/statements.js';
 import { answerQuery, resolveUnit, type QueryStatement, type Row } from './queries.js';
 
-/** What became of a command. */
+/** The outcome of a command. */
 export interface CommandAnswer {
   readonly accepted: boolean;
   readonly detail: string;
 }
 
-/** What the admin API works with. */
+/** The dependencies of the admin API. */
 export interface AdminContext {
   readonly state: DaemonState;
   readonly metrics: Registry;
-  /** Runs a command; resolves when its fate is known or it was given up. */
+  /** Runs a command; resolves with its outcome, or as not accepted when no outcome is known in time. */
   run(command: OperatorCommand): Promise<CommandAnswer>;
 }
 
@@ -100,7 +100,7 @@
   return new Response(body, { status, headers: { 'content-type': 'application/problem+json' } });
 }
 
-/** The routes of the admin API. */
+/** Returns the HTTP application that serves the admin API. */
 export function createAdminApp(admin: AdminContext): Hono {
   const app = new Hono();
   app.get('/metrics', async (context) => context.text(await admin.metrics.metrics()));
@@ -115,8 +115,8 @@
       return problem(400, 'Bad request', 'the body must be JSON: {"statement": "...", "operator": "..."}');
     }
     const answer = await runStatement(admin, body.data.statement, body.data.operator);
-    const refused = 'accepted' in answer && !answer.accepted;
-    return context.json(answer, refused ? 409 : 200);
+    const isRejected = 'accepted' in answer && !answer.accepted;
+    return context.json(answer, isRejected ? 409 : 200);
   });
   app.onError((error) => {
     return error instanceof FennelferryError
--- a/src/admin/configuration-edits.ts
+++ b/src/admin/configuration-edits.ts
@@ -1,5 +1,5 @@
 /**
- * Changes of the routing configuration that statements ask for, as new texts of the whole configuration.
+ * Applies the configuration changes that statements request. Each edit returns the whole new configuration as JSON.
  */
 import { err, ok, type Result } from 'neverthrow';
 import type { RoutingConfiguration } from '../core/configuration/routing-configuration.js';
@@ -22,19 +22,21 @@
 ): Result<string, AdminError> {
   const copy = copyOf(configuration);
   const servers = copy.groups.flatMap((group) => group['servers'] as Record<string, unknown>[]);
-  const found = servers.find((candidate) => candidate['id'] === server);
-  if (found === undefined) {
-    return err(new AdminError('find server', server, `no server ${server}; show servers lists them`));
+  const edited = servers.find((candidate) => candidate['id'] === server);
+  if (edited === undefined) {
+    return err(
+      new AdminError('find server', server, `unknown server ${server}; "show servers" lists the servers`),
+    );
   }
-  found[field] = value;
+  edited[field] = value;
   return ok(JSON.stringify(copy));
 }
 
 function setRoute(configuration: RoutingConfiguration, definition: RouteDefinition): string {
   const copy = copyOf(configuration);
-  const { key, priority, timeoutMilliseconds, ...always } = definition;
+  const { key, priority, timeoutMilliseconds, ...required } = definition;
   const route = {
-    ...always,
+    ...required,
     ...(key === null ? {} : { key }),
     ...(priority === null ? {} : { priority }),
     ...(timeoutMilliseconds === null ? {} : { timeoutMilliseconds }),
@@ -50,14 +52,14 @@
 
 function removeRoute(configuration: RoutingConfiguration, name: string): Result<string, AdminError> {
   const copy = copyOf(configuration);
-  const kept = copy.routes.filter((route) => route['name'] !== name);
-  if (kept.length === copy.routes.length) {
-    return err(new AdminError('find route', name, `no route ${name}; show routes lists them`));
+  const remaining = copy.routes.filter((route) => route['name'] !== name);
+  if (remaining.length === copy.routes.length) {
+    return err(new AdminError('find route', name, `unknown route ${name}; "show routes" lists the routes`));
   }
-  return ok(JSON.stringify({ ...copy, routes: kept }));
+  return ok(JSON.stringify({ ...copy, routes: remaining }));
 }
 
-/** The text of the configuration after a change. */
+/** Returns the configuration after the edit as JSON. */
 export function editConfiguration(
   configuration: RoutingConfiguration,
   edit: EditStatement,
--- a/src/admin/language/parser.ts
+++ b/src/admin/language/parser.ts
@@ -1,6 +1,6 @@
 /**
- * The grammar of the query and command language, on the `chevrotain` library. An error names the place in
- * the statement and what was expected there.
+ * The grammar of the query and command language, a `chevrotain` parser. An error names the position in the
+ * statement and what was expected there.
  */
 import { EmbeddedActionsParser, type IToken, type TokenType } from 'chevrotain';
 import { err, ok, type Result } from 'neverthrow';
@@ -32,12 +32,12 @@
     return this.OR([
       { ALT: () => this.SUBRULE(this.showOwner) },
       { ALT: () => this.SUBRULE(this.showUnits) },
-      { ALT: () => this.#plain(K.moving, { kind: 'showMoving' }, 1) },
-      { ALT: () => this.#plain(K.servers, { kind: 'showServers' }, 2) },
-      { ALT: () => this.#plain(K.shards, { kind: 'showShards' }, 3) },
-      { ALT: () => this.#plain(K.members, { kind: 'showMembers' }, 4) },
-      { ALT: () => this.#plain(K.routes, { kind: 'showRoutes' }, 5) },
-      { ALT: () => this.#plain(K.configuration, { kind: 'showConfiguration' }, 6) },
+      { ALT: () => this.#keywordStatement(K.moving, { kind: 'showMoving' }, 1) },
+      { ALT: () => this.#keywordStatement(K.servers, { kind: 'showServers' }, 2) },
+      { ALT: () => this.#keywordStatement(K.shards, { kind: 'showShards' }, 3) },
+      { ALT: () => this.#keywordStatement(K.members, { kind: 'showMembers' }, 4) },
+      { ALT: () => this.#keywordStatement(K.routes, { kind: 'showRoutes' }, 5) },
+      { ALT: () => this.#keywordStatement(K.configuration, { kind: 'showConfiguration' }, 6) },
     ]);
   });
 
@@ -97,8 +97,8 @@
 
   readonly drainStatement = this.RULE('drainStatement', (): Statement => {
     const draining = this.OR([
-      { ALT: () => this.#yields(K.drain, true, 1) },
-      { ALT: () => this.#yields(K.undrain, false, 2) },
+      { ALT: () => this.#keywordValue(K.drain, true, 1) },
+      { ALT: () => this.#keywordValue(K.undrain, false, 2) },
     ]);
     return { kind: 'drain', server: this.CONSUME(Name).image, draining };
   });
@@ -110,9 +110,9 @@
 
   readonly setServer = this.RULE('setServer', (): Statement => {
     const field = this.OR<ServerNumber>([
-      { ALT: () => this.#yields(K.weight, 'weight', 1) },
-      { ALT: () => this.#yields(K.concurrency, 'concurrency', 2) },
-      { ALT: () => this.#yields(K.connections, 'connections', 3) },
+      { ALT: () => this.#keywordValue(K.weight, 'weight', 1) },
+      { ALT: () => this.#keywordValue(K.concurrency, 'concurrency', 2) },
+      { ALT: () => this.#keywordValue(K.connections, 'connections', 3) },
     ]);
     this.CONSUME(K.of);
     const server = this.CONSUME(Name).image;
@@ -130,7 +130,7 @@
     this.AT_LEAST_ONE_SEP({ SEP: Comma, DEF: () => methods.push(this.CONSUME2(Name).image.toUpperCase()) });
     this.CONSUME(K.group);
     const group = this.CONSUME3(Name).image;
-    const key = this.OPTION(() => this.SUBRULE(this.keyPlace)) ?? null;
+    const key = this.OPTION(() => this.SUBRULE(this.keySource)) ?? null;
     const repeatable = this.OPTION2(() => this.CONSUME(K.repeatable)) !== undefined;
     const priority = this.OPTION3(() => this.SUBRULE(this.routePriority)) ?? null;
     const timeoutMilliseconds = this.OPTION4(() => this.SUBRULE(this.routeTimeout)) ?? null;
@@ -147,12 +147,12 @@
     return { kind: 'setRoute', route };
   });
 
-  readonly keyPlace = this.RULE('keyPlace', (): RouteDefinition['key'] => {
+  readonly keySource = this.RULE('keySource', (): RouteDefinition['key'] => {
     this.CONSUME(K.key);
     const from = this.OR([
-      { ALT: () => this.#yields(K.path, 'path', 1) },
-      { ALT: () => this.#yields(K.header, 'header', 2) },
-      { ALT: () => this.#yields(K.query, 'query', 3) },
+      { ALT: () => this.#keywordValue(K.path, 'path', 1) },
+      { ALT: () => this.#keywordValue(K.header, 'header', 2) },
+      { ALT: () => this.#keywordValue(K.query, 'query', 3) },
     ]);
     return { from, name: unquote(this.CONSUME(Text)) };
   });
@@ -190,12 +190,12 @@
     ]);
   });
 
-  #plain(token: TokenType, statement: Statement, occurrence: number): Statement {
+  #keywordStatement(token: TokenType, statement: Statement, occurrence: number): Statement {
     this.consume(occurrence, token);
     return statement;
   }
 
-  #yields<Value>(token: TokenType, value: Value, occurrence: number): Value {
+  #keywordValue<Value>(token: TokenType, value: Value, occurrence: number): Value {
     this.consume(occurrence, token);
     return value;
   }
@@ -207,26 +207,28 @@
 
 const parser = new StatementParser();
 
-/** Reads one statement. */
+/** Parses one statement. */
 export function parseStatement(text: string): Result<Statement, StatementError> {
   const lexed = languageLexer.tokenize(text);
   const lexerError = lexed.errors[0];
   if (lexerError !== undefined) {
-    const place = `character ${lexerError.offset + 1}`;
-    return err(new StatementError('read statement', place, `unexpected ${text[lexerError.offset] ?? 'end'}`));
+    const position = `character ${lexerError.offset + 1}`;
+    return err(
+      new StatementError('parse statement', position, `unexpected ${text[lexerError.offset] ?? 'end'}`),
+    );
   }
   parser.input = lexed.tokens;
   const statement = parser.statement();
-  const fault = parser.errors[0];
-  if (fault !== undefined) {
-    const atEnd = Number.isNaN(fault.token.startOffset) || fault.token.image === '';
-    const place = atEnd ? 'the end' : `character ${fault.token.startOffset + 1}`;
-    return err(new StatementError('read statement', place, tidy(fault.message)));
+  const syntaxError = parser.errors[0];
+  if (syntaxError !== undefined) {
+    const isAtEnd = Number.isNaN(syntaxError.token.startOffset) || syntaxError.token.image === '';
+    const position = isAtEnd ? 'the end' : `character ${syntaxError.token.startOffset + 1}`;
+    return err(new StatementError('parse statement', position, tidy(syntaxError.message)));
   }
   return ok(statement);
 }
 
-/** The library's message in one line. */
+/** Returns the message of the `chevrotain` library as one line, without the arrows around the token. */
 function tidy(message: string): string {
   return message.replace(/\s+/g, ' ').replace(/-->\s*(.*?)\s*<--/g, '$1');
 }
--- a/src/admin/language/statements.ts
+++ b/src/admin/language/statements.ts
@@ -1,13 +1,13 @@
 /**
- * The statements of the query and command language, as the parser delivers them.
+ * The parsed statements of the query and command language.
  * docs/LANGUAGE.md shows each form.
  */
 
-/** Whom a statement speaks of: a unit by number, or the one that holds a key. */
+/** How a statement refers to a unit: by number, or by a key that the unit contains. */
 export type UnitReference =
   { readonly by: 'unit'; readonly unit: number } | { readonly by: 'key'; readonly key: string };
 
-/** What a `set route` statement says. */
+/** The route that a `set route` statement defines. */
 export interface RouteDefinition {
   readonly name: string;
   readonly path: string;
@@ -19,7 +19,7 @@
   readonly timeoutMilliseconds: number | null;
 }
 
-/** Numbers of a server that a statement can set. */
+/** Numeric settings of a server that a statement can change. */
 export type ServerNumber = 'weight' | 'concurrency' | 'connections';
 
 export type Statement =
--- a/src/admin/language/tokens.ts
+++ b/src/admin/language/tokens.ts
@@ -1,5 +1,5 @@
 /**
- * The words of the language, for the lexer of the `chevrotain` library.
+ * The tokens of the query and command language, for the lexer of the `chevrotain` library.
  */
 import { createToken, Lexer, type TokenType } from 'chevrotain';
 
@@ -7,7 +7,7 @@
 export const Name = createToken({ name: 'name', pattern: /[a-zA-Z][a-zA-Z0-9-]*/ });
 /** A number such as `12` or `0.5`. */
 export const NumberToken = createToken({ name: 'number', pattern: /\d+(\.\d+)?/ });
-/** A text in single quotes; a quote inside is doubled. */
+/** A string in single quotes; a quote inside the string is doubled. */
 export const Text = createToken({ name: 'text in single quotes', pattern: /'(?:[^']|'')*'/ });
 export const Comma = createToken({ name: 'comma', pattern: /,/ });
 const Space = createToken({ name: 'space', pattern: /\s+/, group: Lexer.SKIPPED });
@@ -56,10 +56,10 @@
   remove: keyword('remove'),
 } as const;
 
-// Longer words first: `units` before `unit`.
-const words = Object.values(KEYWORDS).sort((left, right) => right.name.length - left.name.length);
+// The lexer takes the first token that matches, so longer keywords come first: `units` before `unit`.
+const keywordsByLength = Object.values(KEYWORDS).sort((left, right) => right.name.length - left.name.length);
 
-/** All tokens in the order the lexer tries them. */
-export const TOKENS: TokenType[] = [Space, ...words, Name, NumberToken, Text, Comma];
+/** All tokens in the order in which the lexer tries them. */
+export const TOKENS: TokenType[] = [Space, ...keywordsByLength, Name, NumberToken, Text, Comma];
 
 export const languageLexer = new Lexer(TOKENS);
--- a/src/admin/queries.ts
+++ b/src/admin/queries.ts
@@ -1,5 +1,5 @@
 /**
- * Answers to the questions of the language, read from one daemon's own state: what that daemon knows.
+ * Answers the queries of the language from the state of one daemon; the rows show what that daemon knows.
  */
 import { err, ok, type Result } from 'neverthrow';
 import { shardOfUnit } from '../core/configuration/shard-layout.js';
@@ -14,7 +14,7 @@
 
 /** A value of a row. */
 export type Cell = string | number | boolean | null;
-/** One line of an answer. */
+/** One row of a query's result. */
 export type Row = Readonly<Record<string, Cell>>;
 
 export type QueryStatement = Extract<Statement, { kind: `show${string}` }>;
@@ -26,10 +26,12 @@
   }
   const keyed = [...state.configuration.groups.values()].filter((candidate) => candidate.kind === 'keyed');
   const names = keyed.map((candidate) => candidate.name).join(', ');
-  return err(new AdminError('find group', name, `no keyed group ${name}; there are: ${names || 'none'}`));
+  return err(
+    new AdminError('find group', name, `unknown keyed group ${name}; there are: ${names || 'none'}`),
+  );
 }
 
-/** The unit a statement speaks of. */
+/** Returns the unit that a statement refers to by number or by key. */
 export function resolveUnit(
   state: DaemonState,
   groupName: string,
@@ -54,7 +56,7 @@
     const unit = reference.by === 'unit' ? reference.unit : unitOfKey(state.tables, group, reference.key);
     const record = state.tables.shards.get(shardOfUnit(group, unit))?.table.records.get(unit);
     if (record === undefined) {
-      return err(new AdminError('find owner', groupName, `unit ${unit} has no owner known here`));
+      return err(new AdminError('find owner', groupName, `this daemon knows no owner of unit ${unit}`));
     }
     return ok([ownerRow(groupName, record)]);
   });
@@ -68,10 +70,10 @@
 }
 
 function showServers(state: DaemonState): Row[] {
-  const units = new Map<Cell, number>();
+  const unitCounts = new Map<Cell, number>();
   for (const row of allRecords(state)) {
     const server = row['server'] ?? null;
-    units.set(server, (units.get(server) ?? 0) + 1);
+    unitCounts.set(server, (unitCounts.get(server) ?? 0) + 1);
   }
   const groups = state.configuration.configuration?.groups ?? [];
   return groups.flatMap((group) =>
@@ -80,7 +82,7 @@
       server: server.id,
       zone: server.zone,
       state: server.state,
-      units: units.get(server.id) ?? 0,
+      units: unitCounts.get(server.id) ?? 0,
       weight: server.weight,
       inFlightHere: loadOf(state.requests, server.id).inFlight,
     })),
@@ -124,7 +126,7 @@
   }));
 }
 
-/** Answers a question. */
+/** Returns the rows that answer a query. */
 export function answerQuery(state: DaemonState, query: QueryStatement): Result<Row[], AdminError> {
   switch (query.kind) {
     case 'showOwner':
--- a/test/admin/test-language.ts
+++ b/test/admin/test-language.ts
@@ -11,8 +11,8 @@
   return parseStatement(text)._unsafeUnwrapErr().message;
 }
 
-describe('language', () => {
-  it('reads each form', () => {
+describe('query and command language', () => {
+  it('parses each form of statement', () => {
     const forms = [
       "show owner of key 'it''s' in keyed",
       'SHOW OWNER OF unit 3 in keyed',
@@ -44,13 +44,13 @@
     });
   });
 
-  it('names the place and what was expected', () => {
+  it('reports the position of a syntax error', () => {
     expect(errorOf('show owner of foo').includes('character 15')).toEqual(true);
     expect(errorOf('move unit 3 in keyed').includes('the end')).toEqual(true);
     expect(errorOf('drain %').includes('character 7')).toEqual(true);
   });
 
-  it('never throws, whatever it is given', () => {
+  it('never throws, whatever the text', () => {
     fc.assert(
       fc.property(fc.string(), (text) => {
         parseStatement(text);
@@ -59,7 +59,7 @@
     );
   });
 
-  it('answers who owns a key', () => {
+  it('answers which server owns a key', () => {
     const { state } = new DaemonFixture();
     const reference = { by: 'key', key: 'a' } as const;
     const rows = answerQuery(state, { kind: 'showOwner', group: 'keyed', reference })._unsafeUnwrap();
@@ -69,8 +69,8 @@
   });
 });
 
-describe('changes of configuration', () => {
-  it('makes texts that fit the schema, and says what cannot be found', () => {
+describe('configuration edits', () => {
+  it('produce configurations that fit the schema, and fail for an unknown route', () => {
     const text = editConfiguration(CONFIGURATION, {
       kind: 'drain',
       server: 'keyed-1',
@@ -80,7 +80,7 @@
     expect(editConfiguration(CONFIGURATION, { kind: 'removeRoute', name: 'nope' }).isErr()).toEqual(true);
   });
 
-  it('are refused with every fault when they do not fit', () => {
+  it('are rejected with the schema errors when they do not fit the schema', () => {
     const daemon = new DaemonFixture();
     const text = JSON.stringify({ groups: CONFIGURATION.groups, routes: [{ name: 'x' }] });
     const command = { action: 'configure', expectedVersion: 1, text, operator: 'aina' } as const;
@@ -92,7 +92,7 @@
     expect(result?.detail.includes('routes.0.path: found nothing')).toEqual(true);
   });
 
-  it('tell the loser of a conflict who won', () => {
+  it('report to the operator who loses a write conflict whose change is in force', () => {
     const daemon = new DaemonFixture();
     const command = {
       action: 'configure',
@@ -116,7 +116,7 @@
     });
   });
 
-  it('are accepted when the answer was lost after the write took effect', () => {
+  it('are accepted when the store applied the write but its response was lost', () => {
     const daemon = new DaemonFixture();
     const command = {
       action: 'configure',
