--- a/src/load/load-run.ts
+++ b/src/load/load-run.ts
@@ -1,7 +1,7 @@
 /**
- * Load on daemons: arrivals at a rate that answers do not slow down (open loop), so that a slow answer
- * cannot hide the wait of those behind it. Latency counts from when a request was due, and requests go out
- * in steps of 5 ms: up to 5 ms of each latency are this tool's own.
+ * An open-loop load generator: requests are sent at a fixed rate that does not depend on responses, so a slow
+ * response cannot hide the waiting time of the requests behind it. Latency is measured from the time a request
+ * was due. Requests are sent in steps of 5 ms, so up to 5 ms of each latency come from this tool.
  */
 import { build, type Histogram } from 'hdr-histogram-js';
 import { Pool } from 'undici';
@@ -16,23 +16,23 @@
 const LARGEST_MICROSECONDS = 60_000_000;
 const UNKNOWN_OUTCOME = 'broken';
 
-/** What to send, and for how long. */
+/** The load to send and the duration of the run. */
 export interface LoadOptions {
-  /** Where daemons serve callers. */
+  /** Addresses at which daemons accept requests of callers. */
   readonly targets: readonly string[];
   readonly routes: readonly RouteConfiguration[];
   readonly requestsPerSecond: number;
   readonly seconds: number;
   readonly keys: number;
   readonly exponent: number;
-  /** The hot keys change this often; 0: never. */
+  /** Interval between changes of the hot keys, in seconds; 0: never. */
   readonly hotKeySeconds: number;
   /** Connections to each daemon. */
   readonly connections: number;
   readonly seed: number;
 }
 
-/** Latencies of one priority class, in milliseconds, and outcomes. */
+/** Outcomes of the requests of one priority class, and their latencies in milliseconds. */
 export interface ClassFigures {
   readonly requests: number;
   readonly outcomes: Readonly<Record<string, number>>;
@@ -42,15 +42,15 @@
   readonly longest: number;
 }
 
-/** What a run showed. */
+/** The results of a run. */
 export interface LoadFigures {
   readonly seconds: number;
   readonly wantedPerSecond: number;
   readonly sentPerSecond: number;
   readonly classes: Readonly<Record<string, ClassFigures>>;
-  /** Requests answered by each server over the mean of its group. */
+  /** By group: requests answered by its busiest server divided by the mean of its servers. */
   readonly imbalance: Readonly<Record<string, number>>;
-  /** Longest time between two answers for one of the ten most asked keys. */
+  /** Longest time between two answers for one of the ten most requested keys, in milliseconds. */
   readonly longestWithoutAnswer: number;
 }
 
@@ -61,16 +61,16 @@
 
 const WATCHED_KEYS = 10;
 
-/** One run. */
+/** One run of the load generator. */
 export class LoadRun {
   readonly #options: LoadOptions;
   readonly #random: SeededRandom;
   readonly #popularity: KeyPopularity;
   readonly #pools: readonly Pool[];
-  readonly #classes = new Map<string, ClassRecord>();
-  readonly #servers = new Map<string, number>();
-  readonly #answeredAt = new Map<string, { last: number; longest: number; count: number }>();
-  readonly #open = new Set<Promise<void>>();
+  readonly #statisticsByClass = new Map<string, ClassRecord>();
+  readonly #answersByServer = new Map<string, number>();
+  readonly #answersByKey = new Map<string, { last: number; longest: number; count: number }>();
+  readonly #inFlight = new Set<Promise<void>>();
   #sent = 0;
 
   constructor(options: LoadOptions) {
@@ -81,20 +81,20 @@
     this.#pools = options.targets.map((target) => new Pool(`http://${target}`, { connections }));
   }
 
-  /** Sends, waits for the last answers, and counts. */
+  /** Sends the load, waits for outstanding responses and returns the results. */
   async run(): Promise<LoadFigures> {
     const { seconds, requestsPerSecond, hotKeySeconds } = this.#options;
-    const begin = performance.now();
-    const hot =
+    const startTime = performance.now();
+    const hotKeyTimer =
       hotKeySeconds > 0
         ? setInterval(() => this.#popularity.changeHotKeys(), hotKeySeconds * 1_000)
         : undefined;
     await new Promise<void>((resolve) => {
       const timer = setInterval(() => {
-        const elapsed = performance.now() - begin;
+        const elapsed = performance.now() - startTime;
         const due = Math.min(elapsed / 1_000, seconds) * requestsPerSecond;
         while (this.#sent < due) {
-          this.#send(begin + (this.#sent / requestsPerSecond) * 1_000);
+          this.#sendNext(startTime + (this.#sent / requestsPerSecond) * 1_000);
         }
         if (elapsed >= seconds * 1_000) {
           clearInterval(timer);
@@ -102,13 +102,13 @@
         }
       }, TICK_MILLISECONDS);
     });
-    clearInterval(hot);
-    await Promise.all(this.#open);
+    clearInterval(hotKeyTimer);
+    await Promise.all(this.#inFlight);
     await Promise.all(this.#pools.map((pool) => pool.destroy()));
-    return this.#figures();
+    return this.#results();
   }
 
-  #send(dueAt: number): void {
+  #sendNext(dueAt: number): void {
     this.#sent += 1;
     const route = this.#random.pick(this.#options.routes);
     const pool = this.#pools[this.#sent % this.#pools.length];
@@ -116,23 +116,23 @@
       return;
     }
     const key = this.#popularity.next();
-    const call = this.#call(pool, route, key, dueAt).finally(() => this.#open.delete(call));
-    this.#open.add(call);
+    const pending = this.#sendRequest(pool, route, key, dueAt).finally(() => this.#inFlight.delete(pending));
+    this.#inFlight.add(pending);
   }
 
-  async #call(pool: Pool, route: RouteConfiguration, key: string, dueAt: number): Promise<void> {
+  async #sendRequest(pool: Pool, route: RouteConfiguration, key: string, dueAt: number): Promise<void> {
     const method = route.methods[0] ?? 'GET';
     const path = route.path.replace(/:\w+/, key).replace('*', key);
-    const record = this.#classOf(route.priority);
+    const record = this.#statisticsOf(route.priority);
     let outcome = UNKNOWN_OUTCOME;
     try {
       const body = method === 'GET' ? null : 'content';
       const signal = AbortSignal.timeout(CALLER_TIMEOUT_MILLISECONDS);
-      const answer = await pool.request({ method, path, body, signal });
-      const text = await answer.body.text();
-      outcome = String(answer.headers[OUTCOME_HEADER] ?? UNKNOWN_OUTCOME);
+      const response = await pool.request({ method, path, body, signal });
+      const text = await response.body.text();
+      outcome = String(response.headers[OUTCOME_HEADER] ?? UNKNOWN_OUTCOME);
       if (outcome === 'answered') {
-        this.#noteAnswer(route, key, text);
+        this.#recordAnswer(route, key, text);
       }
     } catch {
       outcome = UNKNOWN_OUTCOME;
@@ -142,35 +142,35 @@
     record.histogram.recordValue(Math.min(LARGEST_MICROSECONDS, Math.max(1, microseconds)));
   }
 
-  #classOf(priority: string): ClassRecord {
-    let record = this.#classes.get(priority);
+  #statisticsOf(priority: string): ClassRecord {
+    let record = this.#statisticsByClass.get(priority);
     if (record === undefined) {
       record = { histogram: build({ highestTrackableValue: LARGEST_MICROSECONDS }), outcomes: {} };
-      this.#classes.set(priority, record);
+      this.#statisticsByClass.set(priority, record);
     }
     return record;
   }
 
-  /** The emulated servers say their name in the answer. */
-  #noteAnswer(route: RouteConfiguration, key: string, text: string): void {
+  /** Records an answer for its server, whose name emulated servers put into the response body, and for its key. */
+  #recordAnswer(route: RouteConfiguration, key: string, text: string): void {
     const server = /"server":"([^"]+)"/.exec(text)?.[1];
     if (server !== undefined) {
-      this.#servers.set(server, (this.#servers.get(server) ?? 0) + 1);
+      this.#answersByServer.set(server, (this.#answersByServer.get(server) ?? 0) + 1);
     }
     if (route.key === undefined) {
       return;
     }
     const now = performance.now();
-    const known = this.#answeredAt.get(key) ?? { last: now, longest: 0, count: 0 };
-    known.longest = Math.max(known.longest, now - known.last);
-    known.last = now;
-    known.count += 1;
-    this.#answeredAt.set(key, known);
+    const answers = this.#answersByKey.get(key) ?? { last: now, longest: 0, count: 0 };
+    answers.longest = Math.max(answers.longest, now - answers.last);
+    answers.last = now;
+    answers.count += 1;
+    this.#answersByKey.set(key, answers);
   }
 
   #imbalance(): Record<string, number> {
     const groups = new Map<string, number[]>();
-    for (const [server, count] of this.#servers) {
+    for (const [server, count] of this.#answersByServer) {
       const group = server.replace(/-\d+$/, '');
       groups.set(group, [...(groups.get(group) ?? []), count]);
     }
@@ -182,22 +182,29 @@
     );
   }
 
-  #figures(): LoadFigures {
+  #results(): LoadFigures {
     const { seconds, requestsPerSecond } = this.#options;
-    const classes = [...this.#classes].map(([name, { histogram, outcomes }]) => {
-      const at = (share: number): number => histogram.getValueAtPercentile(share) / MICROSECONDS;
+    const classes = [...this.#statisticsByClass].map(([name, { histogram, outcomes }]) => {
+      const latencyAt = (percentile: number): number =>
+        histogram.getValueAtPercentile(percentile) / MICROSECONDS;
       const longest = histogram.maxValue / MICROSECONDS;
       const requests = histogram.totalCount;
-      return [name, { requests, outcomes, p50: at(50), p99: at(99), p999: at(99.9), longest }] as const;
+      return [
+        name,
+        { requests, outcomes, p50: latencyAt(50), p99: latencyAt(99), p999: latencyAt(99.9), longest },
+      ] as const;
     });
-    const mostAsked = [...this.#answeredAt.values()].sort((left, right) => right.count - left.count);
+    const mostRequested = [...this.#answersByKey.values()].sort((left, right) => right.count - left.count);
     return {
       seconds,
       wantedPerSecond: requestsPerSecond,
       sentPerSecond: this.#sent / seconds,
       classes: Object.fromEntries(classes),
       imbalance: this.#imbalance(),
-      longestWithoutAnswer: Math.max(0, ...mostAsked.slice(0, WATCHED_KEYS).map(({ longest }) => longest)),
+      longestWithoutAnswer: Math.max(
+        0,
+        ...mostRequested.slice(0, WATCHED_KEYS).map(({ longest }) => longest),
+      ),
     };
   }
 }
--- a/src/load/popularity.ts
+++ b/src/load/popularity.ts
@@ -1,43 +1,42 @@
 /**
- * Which key a request is about: a Zipf distribution whose most popular keys change from time to time.
+ * Samples request keys from a Zipf distribution whose most popular keys can be changed.
  */
 import type { SeededRandom } from '../core/random.js';
 
-/** Draws keys. */
 export class KeyPopularity {
-  readonly #cumulative: number[];
+  readonly #cumulativeWeights: number[];
   readonly #random: SeededRandom;
-  #shift = 0;
+  #rankOffset = 0;
 
   /**
-   * @param keys how many keys there are
-   * @param exponent 0 makes all equally popular; about 1 is usual
+   * @param keys number of keys
+   * @param exponent exponent of the Zipf distribution; 0 makes all keys equally popular, about 1 is usual
    */
   constructor(keys: number, exponent: number, random: SeededRandom) {
     this.#random = random;
     let sum = 0;
-    this.#cumulative = Array.from({ length: keys }, (_, rank) => (sum += 1 / (rank + 1) ** exponent));
+    this.#cumulativeWeights = Array.from({ length: keys }, (_, rank) => (sum += 1 / (rank + 1) ** exponent));
   }
 
-  /** Makes other keys the popular ones. */
+  /** Shifts the ranks by a random offset, so that other keys become the most popular ones. */
   changeHotKeys(): void {
-    this.#shift = this.#random.below(this.#cumulative.length);
+    this.#rankOffset = this.#random.below(this.#cumulativeWeights.length);
   }
 
-  /** Draws one key. */
+  /** Returns a random key. */
   next(): string {
-    const total = this.#cumulative.at(-1) ?? 0;
-    const wanted = this.#random.fraction() * total;
-    const rank = this.#rankOf(wanted);
-    return `key-${(rank + this.#shift) % this.#cumulative.length}`;
+    const total = this.#cumulativeWeights.at(-1) ?? 0;
+    const target = this.#random.fraction() * total;
+    const rank = this.#rankOf(target);
+    return `key-${(rank + this.#rankOffset) % this.#cumulativeWeights.length}`;
   }
 
-  #rankOf(wanted: number): number {
+  #rankOf(target: number): number {
     let low = 0;
-    let high = this.#cumulative.length - 1;
+    let high = this.#cumulativeWeights.length - 1;
     while (low < high) {
       const middle = (low + high) >> 1;
-      if ((this.#cumulative[middle] ?? 0) > wanted) {
+      if ((this.#cumulativeWeights[middle] ?? 0) > target) {
         high = middle;
       } else {
         low = middle + 1;
--- a/test/load/test-popularity.ts
+++ b/test/load/test-popularity.ts
@@ -12,8 +12,8 @@
   return [...counts].sort((left, right) => right[1] - left[1])[0]?.[0] ?? '';
 }
 
-describe('key popularity', () => {
-  it('favours few keys, and others after a change', () => {
+describe('key sampler', () => {
+  it('draws one key most often, and another one after a change of the hot keys', () => {
     const popularity = new KeyPopularity(100, 1, new SeededRandom(4));
     expect(mostPopular(popularity)).toEqual('key-0');
     popularity.changeHotKeys();
