--- a/src/command-line/emulate-command.ts
+++ b/src/command-line/emulate-command.ts
@@ -100,15 +100,17 @@
     const all = this.configuration(system).groups.flatMap((group) => group.servers);
     const only = this.only?.split(',');
     const except = this.except?.split(',') ?? [];
-    const wanted = all.filter((server) => (only?.includes(server.id) ?? true) && !except.includes(server.id));
+    const selected = all.filter(
+      (server) => (only?.includes(server.id) ?? true) && !except.includes(server.id),
+    );
     const unknown = [...(only ?? []), ...except].filter((id) => !all.some((server) => server.id === id));
     if (unknown.length > 0) {
       this.context.stderr.write(`no such servers in ${system.name}: ${unknown.join(', ')}\n`);
       return EXIT_BAD_INPUT;
     }
     const behaviour = this.instant ? INSTANT_BEHAVIOUR : system.behaviour;
-    const running = wanted.map((server) => new ServerProcess(server.id, behaviour));
-    await Promise.all(running.map((server, index) => server.start(wanted[index]?.address ?? '')));
+    const running = selected.map((server) => new ServerProcess(server.id, behaviour));
+    await Promise.all(running.map((server, index) => server.start(selected[index]?.address ?? '')));
     this.context.stdout.write(`running ${running.length} emulated servers of ${system.name}\n`);
     await untilStopped();
     running.forEach((server) => server.stop());
--- a/src/command-line/load-command.ts
+++ b/src/command-line/load-command.ts
@@ -70,7 +70,7 @@
       return EXIT_BAD_INPUT;
     }
     const { routes } = configurationOf(system, () => '127.0.0.1:1');
-    const figures = await new LoadRun({
+    const results = await new LoadRun({
       targets: this.targets.split(','),
       routes,
       requestsPerSecond: this.rate,
@@ -81,7 +81,7 @@
       connections: this.connections,
       seed: this.seed,
     }).run();
-    this.context.stdout.write(this.json ? `${JSON.stringify(figures)}\n` : this.#format(figures));
+    this.context.stdout.write(this.json ? `${JSON.stringify(results)}\n` : this.#format(results));
     return EXIT_OK;
   }
 
@@ -99,8 +99,8 @@
     return this.keys >= 1 ? null : `--keys: found ${this.keys}; allowed: at least 1`;
   }
 
-  #format(figures: LoadFigures): string {
-    const rows = Object.entries(figures.classes).map(([name, entry]) => ({
+  #format(results: LoadFigures): string {
+    const rows = Object.entries(results.classes).map(([name, entry]) => ({
       class: name,
       requests: entry.requests,
       answered: entry.outcomes['answered'] ?? 0,
@@ -112,9 +112,9 @@
       p999: entry.p999.toFixed(2),
       longest: entry.longest.toFixed(2),
     }));
-    const imbalance = Object.entries(figures.imbalance).map(
+    const imbalance = Object.entries(results.imbalance).map(
       ([group, value]) => `${group} ${value.toFixed(2)}`,
     );
-    return `${formatRows(rows)}latencies in ms; requests of the busiest server relative to the group's mean: ${imbalance.join(', ')}; longest time without an answer for a hot key: ${Math.round(figures.longestWithoutAnswer)} ms\n`;
+    return `${formatRows(rows)}latencies in ms; requests of the busiest server relative to the group's mean: ${imbalance.join(', ')}; longest time without an answer for a hot key: ${Math.round(results.longestWithoutAnswer)} ms\n`;
   }
 }
--- a/src/explain/explain-request.ts
+++ b/src/explain/explain-request.ts
@@ -37,7 +37,7 @@
 function toRequestLine(line: LogLine): RequestLine {
   const attempts = Array.isArray(line['attempts']) ? line['attempts'].map(textOf) : [];
   const duration = typeof line['milliseconds'] === 'number' ? line['milliseconds'] : 0;
-  const named = /i-[0-9a-z]+(#\d*)?/.exec(textOf(line['reason']));
+  const serverInReason = /i-[0-9a-z]+(#\d*)?/.exec(textOf(line['reason']));
   const servers = attempts.map((attempt) => attempt.split(' ')[0] ?? '');
   return {
     line,
@@ -45,7 +45,7 @@
     endedAt: timeOf(line),
     service: textOf(line['service']),
     key: typeof line['key'] === 'number' ? line['key'] : null,
-    servers: named === null ? servers : [...servers, named[0]],
+    servers: serverInReason === null ? servers : [...servers, serverInReason[0]],
   };
 }
 
--- a/src/load/load-run.ts
+++ b/src/load/load-run.ts
@@ -65,7 +65,7 @@
 export class LoadRun {
   readonly #options: LoadOptions;
   readonly #random: SeededRandom;
-  readonly #popularity: KeyPopularity;
+  readonly #keySampler: KeyPopularity;
   readonly #pools: readonly Pool[];
   readonly #statisticsByClass = new Map<string, ClassRecord>();
   readonly #answersByServer = new Map<string, number>();
@@ -76,7 +76,7 @@
   constructor(options: LoadOptions) {
     this.#options = options;
     this.#random = new SeededRandom(options.seed);
-    this.#popularity = new KeyPopularity(options.keys, options.exponent, this.#random);
+    this.#keySampler = new KeyPopularity(options.keys, options.exponent, this.#random);
     const { connections } = options;
     this.#pools = options.targets.map((target) => new Pool(`http://${target}`, { connections }));
   }
@@ -87,7 +87,7 @@
     const startTime = performance.now();
     const hotKeyTimer =
       hotKeySeconds > 0
-        ? setInterval(() => this.#popularity.changeHotKeys(), hotKeySeconds * 1_000)
+        ? setInterval(() => this.#keySampler.changeHotKeys(), hotKeySeconds * 1_000)
         : undefined;
     await new Promise<void>((resolve) => {
       const timer = setInterval(() => {
@@ -115,7 +115,7 @@
     if (route === undefined || pool === undefined) {
       return;
     }
-    const key = this.#popularity.next();
+    const key = this.#keySampler.next();
     const pending = this.#sendRequest(pool, route, key, dueAt).finally(() => this.#inFlight.delete(pending));
     this.#inFlight.add(pending);
   }
--- a/test/load/test-popularity.ts
+++ b/test/load/test-popularity.ts
@@ -3,10 +3,10 @@
 import { SeededRandom } from '../../src/core/random.js';
 import { KeyPopularity } from '../../src/load/popularity.js';
 
-function mostPopular(popularity: KeyPopularity): string {
+function mostPopular(sampler: KeyPopularity): string {
   const counts = new Map<string, number>();
   for (let draw = 0; draw < 5_000; draw += 1) {
-    const key = popularity.next();
+    const key = sampler.next();
     counts.set(key, (counts.get(key) ?? 0) + 1);
   }
   return [...counts].sort((left, right) => right[1] - left[1])[0]?.[0] ?? '';
@@ -14,9 +14,9 @@
 
 describe('key sampler', () => {
   it('draws one key most often, and another one after a change of the hot keys', () => {
-    const popularity = new KeyPopularity(100, 1, new SeededRandom(4));
-    expect(mostPopular(popularity)).toEqual('key-0');
-    popularity.changeHotKeys();
-    expect(mostPopular(popularity) === 'key-0').toEqual(false);
+    const sampler = new KeyPopularity(100, 1, new SeededRandom(4));
+    expect(mostPopular(sampler)).toEqual('key-0');
+    sampler.changeHotKeys();
+    expect(mostPopular(sampler) === 'key-0').toEqual(false);
   });
 });
