--- a/src/demo/main.ts
+++ b/src/demo/main.ts
@@ -9,7 +9,7 @@
 import { setTimeout as sleep } from 'node:timers/promises';
 import { request } from 'undici';
 import { stringify } from 'yaml';
-import { askAdmin } from '../admin/admin-client.js';
+import { sendStatement } from '../admin/admin-client.js';
 import { configurationOf, systemNamed } from '../emulator/systems.js';
 import { formatRows } from '../command-line/table-format.js';
 import { findFreePorts, ProcessGroup } from './processes.js';
@@ -107,7 +107,7 @@
 }
 
 async function say(admin: string, statement: string): Promise<string> {
-  const answer = await askAdmin(admin, statement, 'demo');
+  const answer = await sendStatement(admin, statement, 'demo');
   if (answer.isErr()) {
     return answer.error.message;
   }
@@ -116,7 +116,7 @@
 }
 
 async function ownerOf(admin: string, key: string): Promise<string> {
-  const answer = await askAdmin(admin, `show owner of key '${key}' in rakstatus`, 'demo');
+  const answer = await sendStatement(admin, `show owner of key '${key}' in rakstatus`, 'demo');
   const body = answer.isOk() ? answer.value.body : { detail: '' };
   return 'rows' in body ? String(body.rows[0]?.['server'] ?? '') : '';
 }
--- a/src/explain/explain-request.ts
+++ b/src/explain/explain-request.ts
@@ -1,22 +1,22 @@
 /**
- * Tells the story of one request from the logs of any number of daemons: how each daemon that took it ended
- * it, and what was believed and done about its key, its servers and the leader just before.
+ * Explains one request from the logs of any number of daemons: how each daemon that received the request ended
+ * it, and which preceding events concern its key, its servers, its daemon or the leader.
  */
 import type { LogLine } from './log-line.js';
 
-/** What happened this long before a request arrived may explain its end. */
-const LOOK_BACK_MILLISECONDS = 3_000;
-/** What a server has said of itself, and whether the loop is behind, holds until a later line says otherwise. */
-const STANDING_EVENTS: ReadonlySet<string> = new Set([
+/** Events from this long before a request arrived are included, since they may explain its outcome. */
+const LOOKBACK_MILLISECONDS = 3_000;
+/** Events that set a state (a server's limit, event loop delay) which holds until a later event changes it. */
+const STATE_EVENTS: ReadonlySet<string> = new Set([
   'server_names_limit',
   'server_limit_ended',
   'loop_behind',
   'loop_on_time',
 ]);
-/** Lines of beliefs told for one daemon's try. */
-const MOST_BELIEFS = 25;
+/** Maximum number of preceding events listed for one request at one daemon; the latest are kept. */
+const MAX_PRECEDING_EVENTS = 25;
 
-/** The part of a request's line that the story is told from. */
+/** The log line that ended a request at one daemon, with the fields that the explanation needs. */
 interface RequestLine {
   readonly line: LogLine;
   readonly arrivedAt: number;
@@ -26,31 +26,31 @@
   readonly servers: readonly string[];
 }
 
-function timeOf(line: LogLine): number {
+function timestampOf(line: LogLine): number {
   return Date.parse(line.time);
 }
 
-function textOf(value: unknown): string {
+function formatValue(value: unknown): string {
   return typeof value === 'string' ? value : JSON.stringify(value ?? null);
 }
 
 function toRequestLine(line: LogLine): RequestLine {
-  const attempts = Array.isArray(line['attempts']) ? line['attempts'].map(textOf) : [];
+  const attempts = Array.isArray(line['attempts']) ? line['attempts'].map(formatValue) : [];
   const duration = typeof line['milliseconds'] === 'number' ? line['milliseconds'] : 0;
-  const named = /i-[0-9a-z]+(#\d*)?/.exec(textOf(line['reason']));
+  const serverInReason = /i-[0-9a-z]+(#\d*)?/.exec(formatValue(line['reason']));
   const servers = attempts.map((attempt) => attempt.split(' ')[0] ?? '');
   return {
     line,
-    arrivedAt: timeOf(line) - duration,
-    endedAt: timeOf(line),
-    service: textOf(line['service']),
+    arrivedAt: timestampOf(line) - duration,
+    endedAt: timestampOf(line),
+    service: formatValue(line['service']),
     key: typeof line['key'] === 'number' ? line['key'] : null,
-    servers: named === null ? servers : [...servers, named[0]],
+    servers: serverInReason === null ? servers : [...servers, serverInReason[0]],
   };
 }
 
-/** Whether a text names a unit of the service that holds the key, as in `racks/0-511 to i-1`. */
-function namesUnitOf(text: string, service: string, key: number): boolean {
+/** Whether a text names the unit of the service that contains the key, as in `racks/0-511 to i-1`. */
+function mentionsUnitOfKey(text: string, service: string, key: number): boolean {
   for (const [, name, from, to] of text.matchAll(/([^\s"/[]+)\/(\d+)-(\d+)/g)) {
     if (name === service && Number(from) <= key && key <= Number(to)) {
       return true;
@@ -59,7 +59,7 @@
   return false;
 }
 
-const ALWAYS_TOLD: ReadonlySet<string> = new Set([
+const DAEMON_WIDE_EVENTS: ReadonlySet<string> = new Set([
   'loop_behind',
   'loop_on_time',
   'leadership_won',
@@ -71,75 +71,77 @@
   'stopping',
 ]);
 
-function concerns(line: LogLine, request: RequestLine): boolean {
+function isRelevantTo(line: LogLine, request: RequestLine): boolean {
   const isOwn = line.daemon === request.line.daemon;
-  if (ALWAYS_TOLD.has(line.event)) {
+  if (DAEMON_WIDE_EVENTS.has(line.event)) {
     return isOwn || line.event.startsWith('leadership_');
   }
   if (line.event.startsWith('server_')) {
-    return request.servers.includes(textOf(line['server'])) && (isOwn || line.event !== 'server_added');
+    return request.servers.includes(formatValue(line['server'])) && (isOwn || line.event !== 'server_added');
   }
-  const units = textOf(line['unit'] ?? line['changed'] ?? '');
-  return request.key !== null && namesUnitOf(units, request.service, request.key);
+  const units = formatValue(line['unit'] ?? line['changed'] ?? '');
+  return request.key !== null && mentionsUnitOfKey(units, request.service, request.key);
 }
 
-function describeBelief(line: LogLine): string {
+function formatPrecedingEvent(line: LogLine): string {
   const fields = Object.entries(line)
     .filter(([name]) => !['time', 'uptime_ms', 'level', 'daemon', 'event'].includes(name))
-    .map(([name, value]) => `${name}=${textOf(value)}`);
+    .map(([name, value]) => `${name}=${formatValue(value)}`);
   return `    ${line.time} ${line.daemon} ${line.event} ${fields.join(' ')}`;
 }
 
-function describeEnd({ line, key }: RequestLine): string[] {
-  const attempts = Array.isArray(line['attempts']) ? line['attempts'].map(textOf) : [];
-  const reason = textOf(line['reason'] ?? '');
-  const held = attempts.length === 0 ? '  it was sent to no server' : '';
+function describeOutcome({ line, key }: RequestLine): string[] {
+  const attempts = Array.isArray(line['attempts']) ? line['attempts'].map(formatValue) : [];
+  const reason = formatValue(line['reason'] ?? '');
+  const notSent = attempts.length === 0 ? '  the request was sent to no server' : '';
   const readDelay = line['read_delay'];
   return [
-    `${line.time} ${line.daemon}: ${line.event} with ${textOf(line['status'])} after ${textOf(line['milliseconds'])} ms`,
-    `  service ${textOf(line['service'])}, key ${key ?? 'none'}, route ${textOf(line['route'])}`,
+    `${line.time} ${line.daemon}: ${line.event} with ${formatValue(line['status'])} after ${formatValue(line['milliseconds'])} ms`,
+    `  service ${formatValue(line['service'])}, key ${key ?? 'none'}, route ${formatValue(line['route'])}`,
     ...(reason === '' ? [] : [`  reason: ${reason}`]),
-    `  believed: configuration ${textOf(line['configuration'])}, servers ${textOf(line['servers'])}, ownership ${textOf(line['ownership'])}`,
+    `  versions in use: configuration ${formatValue(line['configuration'])}, servers ${formatValue(line['servers'])}, ownership ${formatValue(line['ownership'])}`,
     ...(readDelay === undefined
       ? []
-      : [`  it may have waited unread for ${textOf(readDelay)} ms before: the loop was behind`]),
-    ...(held === '' ? [] : [held]),
+      : [
+          `  the request may have waited unread for another ${formatValue(readDelay)} ms: the event loop was behind`,
+        ]),
+    ...(notSent === '' ? [] : [notSent]),
     ...attempts.map((attempt) => `  attempt at ${attempt}`),
   ];
 }
 
-/** The last word on the loop, and of each server that the request was for, where it came before the time that is looked back on. */
-function standingLines(ordered: readonly LogLine[], request: RequestLine): LogLine[] {
-  const last = new Map<string, LogLine>();
+/** Returns the latest state event of the event loop and of each server of the request from before the look-back time. */
+function latestStateEvents(ordered: readonly LogLine[], request: RequestLine): LogLine[] {
+  const latest = new Map<string, LogLine>();
   for (const line of ordered) {
-    const isEarlier = timeOf(line) < request.arrivedAt - LOOK_BACK_MILLISECONDS;
+    const isEarlier = timestampOf(line) < request.arrivedAt - LOOKBACK_MILLISECONDS;
     const isOwn = line.daemon === request.line.daemon;
-    if (isEarlier && isOwn && STANDING_EVENTS.has(line.event) && concerns(line, request)) {
-      last.set(textOf(line['server']), line);
+    if (isEarlier && isOwn && STATE_EVENTS.has(line.event) && isRelevantTo(line, request)) {
+      latest.set(formatValue(line['server']), line);
     }
   }
-  return [...last.values()];
+  return [...latest.values()];
 }
 
 /**
- * The story of a request, a line each; empty when no log names it.
+ * Returns the explanation of a request as lines of text; empty when no log contains the attempt id.
  *
  * @example
  * explainRequest('43c307df64f312b7', lines).join('\n');
  */
 export function explainRequest(attemptId: string, lines: readonly LogLine[]): string[] {
-  const ordered = [...lines].sort((left, right) => timeOf(left) - timeOf(right));
+  const ordered = [...lines].sort((left, right) => timestampOf(left) - timestampOf(right));
   const requests = ordered.filter((line) => line['attempt_id'] === attemptId).map(toRequestLine);
   return requests.flatMap((request) => {
-    const beliefs = ordered.filter((line) => {
-      const at = timeOf(line);
-      const isNear = at >= request.arrivedAt - LOOK_BACK_MILLISECONDS && at <= request.endedAt;
-      return isNear && line['attempt_id'] === undefined && concerns(line, request);
+    const preceding = ordered.filter((line) => {
+      const at = timestampOf(line);
+      const isNear = at >= request.arrivedAt - LOOKBACK_MILLISECONDS && at <= request.endedAt;
+      return isNear && line['attempt_id'] === undefined && isRelevantTo(line, request);
     });
-    const told = beliefs.slice(-MOST_BELIEFS).map(describeBelief);
-    const heading = told.length === 0 ? [] : ['  in the 3 s before its end:'];
-    const standing = standingLines(ordered, request).map(describeBelief);
-    const standingHeading = standing.length === 0 ? [] : ['  said before and not taken back:'];
-    return [...describeEnd(request), ...standingHeading, ...standing, ...heading, ...told];
+    const recent = preceding.slice(-MAX_PRECEDING_EVENTS).map(formatPrecedingEvent);
+    const recentHeading = recent.length === 0 ? [] : ['  events from 3 s before its arrival until its end:'];
+    const state = latestStateEvents(ordered, request).map(formatPrecedingEvent);
+    const stateHeading = state.length === 0 ? [] : ['  state from earlier events, still in force:'];
+    return [...describeOutcome(request), ...stateHeading, ...state, ...recentHeading, ...recent];
   });
 }
--- a/test/runtime/test-daemon.ts
+++ b/test/runtime/test-daemon.ts
@@ -5,7 +5,7 @@
 import { after, before, describe, it } from 'node:test';
 import { setTimeout as sleep } from 'node:timers/promises';
 import { request } from 'undici';
-import { askAdmin } from '../../src/admin/admin-client.js';
+import { sendStatement } from '../../src/admin/admin-client.js';
 import { DEFAULT_BEHAVIOUR, ServerProcess } from '../../src/emulator/server-process.js';
 import { startStoreProcess } from '../../src/emulator/store-process.js';
 import { DEFAULT_TIMING } from '../../src/core/timing.js';
@@ -105,9 +105,9 @@
   });
 
   it('answers questions, refuses bad ones with the place, and shows its counters', async () => {
-    const good = (await askAdmin(at.admin, "show owner of key 'a' in only", 'me'))._unsafeUnwrap();
+    const good = (await sendStatement(at.admin, "show owner of key 'a' in only", 'me'))._unsafeUnwrap();
     expect('rows' in good.body && good.body.rows[0]?.['server']).toEqual('only-1');
-    const bad = (await askAdmin(at.admin, 'show nothing', 'me'))._unsafeUnwrap();
+    const bad = (await sendStatement(at.admin, 'show nothing', 'me'))._unsafeUnwrap();
     expect([bad.status, 'detail' in bad.body && bad.body.detail.includes('character 6')]).toEqual([
       400,
       true,
