--- a/src/core/context.ts
+++ b/src/core/context.ts
@@ -1,5 +1,5 @@
 /**
- * What one step of the reducer works with: the state, the time of the event, and the effects so far.
+ * The context of one reducer step: the daemon's state, the time of the event, and the effects emitted so far.
  */
 import type { DaemonState } from './daemon-state.js';
 import { tableDigest, versionsOf } from './dissemination/table-spread.js';
@@ -15,10 +15,10 @@
 } from './identifiers.js';
 import type { Digest, PeerMessage } from './messages.js';
 
-/** A daemon asks the same peer for tables at most this often. */
+/** The shortest time between two table pulls by this daemon, whichever peer each goes to. */
 const PULL_INTERVAL: Milliseconds = 500;
 
-/** Handed to every sub-reducer. Valid for one event only. */
+/** The context passed to every sub-reducer. Valid for one event only. */
 export class ReducerContext {
   readonly state: DaemonState;
   readonly now: Milliseconds;
@@ -29,17 +29,17 @@
     this.now = now;
   }
 
-  /** Adds an effect. */
+  /** Adds an effect to the result of this step. */
   emit(effect: Effect): void {
     this.effects.push(effect);
   }
 
-  /** Adds a log line. Only for changes of state. */
+  /** Emits a log line. Use it only for changes of state. */
   log(level: 'info' | 'warn' | 'error', text: string): void {
     this.effects.push({ kind: 'log', level, text });
   }
 
-  /** Sends to a daemon by name; a daemon whose address is unknown is passed over. */
+  /** Sends a message to a daemon by id. Drops the message when the daemon's address is unknown. */
   send(to: DaemonId, message: PeerMessage, recipientIncarnation = 0): void {
     const address = this.state.membership.members.get(to)?.address;
     if (address !== undefined) {
@@ -47,17 +47,17 @@
     }
   }
 
-  /** Sends to one life of a daemon: another life of it drops the message. */
+  /** Sends a message to one incarnation of a daemon; any other incarnation drops the message. */
   sendToReplica(to: ReplicaId, message: PeerMessage): void {
     this.send(daemonOfReplica(to), message, incarnationOfReplica(to));
   }
 
-  /** Sends to an address whose daemon's name is not known yet. */
+  /** Sends a message to an address whose daemon id is not known yet. */
   sendToAddress(address: string, message: PeerMessage): void {
     this.effects.push({ kind: 'send', to: address, address, recipientIncarnation: 0, message });
   }
 
-  /** What this daemon knows, in short. */
+  /** Returns a digest of this daemon's configuration, ownership tables and membership. */
   digest(): Digest {
     const { configuration, tables, membership } = this.state;
     return {
@@ -67,7 +67,7 @@
     };
   }
 
-  /** Sees from a peer's digest what either lacks, and asks for it. */
+  /** Compares a peer's digest with this daemon's own and requests the state in which they differ. */
   compareDigest(peer: DaemonId, digest: Digest): void {
     const { configuration, tables, counters } = this.state;
     compareMembers(this, peer, digest.memberDigest);
--- a/src/core/counters.ts
+++ b/src/core/counters.ts
@@ -1,8 +1,8 @@
 /**
- * Counters by name. Logs come second to these: a line is written only for a change of state.
+ * The daemon's counters, by name. Repeated events are counted here; only changes of state are logged.
  */
 
-/** Every counter the reducer keeps; `/metrics` shows each as `fennelferry_<name>_total`. */
+/** Every counter of the reducer; `/metrics` exports each one as `fennelferry_<name>_total`. */
 export const COUNTER_NAMES = [
   'requests',
   'requests_answered',
@@ -40,7 +40,7 @@
 export type CounterName = (typeof COUNTER_NAMES)[number];
 export type Counters = Record<CounterName, number>;
 
-/** All counters at zero. */
+/** Creates all counters with the value 0. */
 export function createCounters(): Counters {
   return Object.fromEntries(COUNTER_NAMES.map((name) => [name, 0])) as Counters;
 }
--- a/src/core/daemon-state.ts
+++ b/src/core/daemon-state.ts
@@ -1,5 +1,5 @@
 /**
- * The whole state of one daemon. Owned by the reducer, changed in place, never shared.
+ * The whole state of one daemon. The reducer owns the state and changes it in place; nothing else writes it.
  */
 import type { ConfigurationState } from './configuration/configuration-state.js';
 import { createConfigurationState } from './configuration/configuration-state.js';
@@ -17,15 +17,15 @@
 import type { SafetyRules } from './safety-rules.js';
 import { DEFAULT_TIMING, type Timing } from './timing.js';
 
-/** What a daemon learns from its settings, and the entropy it starts with. */
+/** The identity of a daemon, taken from its settings, and the seed of its random numbers. */
 export interface DaemonIdentity {
   readonly id: DaemonId;
-  /** Number of this life of the daemon; larger than that of any earlier life. */
+  /** Number of this run of the daemon's process; larger than that of any earlier run. */
   readonly incarnation: number;
-  /** `ip:port` of the internal port. */
+  /** `ip:port` at which the daemon accepts messages from other daemons. */
   readonly address: string;
   readonly zone: string;
-  /** The side the daemon belongs to. */
+  /** The side the daemon belongs to: a deployment with its own store and daemons. */
   readonly side: string;
   readonly seeds: readonly string[];
   readonly randomSeed: number;
@@ -46,11 +46,11 @@
   readonly requests: RequestState;
   readonly commands: CommandState;
   startedAt: Milliseconds;
-  /** A planned stop is under way. */
+  /** Whether a planned stop of the daemon is under way. */
   stopping: boolean;
 }
 
-/** A daemon that has just started and knows only itself. */
+/** Creates the state of a daemon that has just started and knows no other daemon. */
 export function createDaemonState(
   identity: DaemonIdentity,
   rules: SafetyRules,
--- a/src/core/effects.ts
+++ b/src/core/effects.ts
@@ -1,70 +1,75 @@
 /**
- * What the reducer asks its surroundings to do. Effects are plain data: the runtime performs them over
- * sockets, the simulation performs the same ones in virtual time.
+ * The effects that the reducer returns. Effects are plain data: the runtime performs them over sockets, and
+ * the simulation performs the same effects in virtual time.
  */
 import type { ControlRequest } from './server-control.js';
 import type { DaemonId, Epoch, Milliseconds, ServerId, UnitNumber } from './identifiers.js';
 import type { PeerMessage } from './messages.js';
 
-/** Send a message to another daemon. May be lost. */
+/** Sends a message to another daemon. The message may be lost. */
 export interface SendEffect {
   readonly kind: 'send';
   readonly to: DaemonId;
   readonly address: string;
-  /** 0: whichever life of the daemon is there. */
+  /** The incarnation that may accept the message, or 0 for any incarnation. */
   readonly recipientIncarnation: number;
   readonly message: PeerMessage;
 }
-/** Make a control call to a server; answered by a `controlReply` event or not at all. */
+/**
+ * Makes a control call to an upstream server. A `controlReply` event follows if the server responds in time.
+ */
 export interface ControlServerEffect {
   readonly kind: 'controlServer';
   readonly server: ServerId;
   readonly address: string;
   readonly request: ControlRequest;
 }
-/** Read an object of the platform's store; answered by `objectRead`. */
+/** Reads an object from the store; an `objectRead` event follows. */
 export interface ReadObjectEffect {
   readonly kind: 'readObject';
   readonly name: string;
-  /** With a version: wait in the store until the object has a newer one. */
+  /** When set, the store holds the read open until the object has a newer version than this one. */
   readonly afterVersion: number | null;
 }
-/** Write an object if its version is still the expected one; answered by `objectWritten`. */
+/** Writes an object by compare-and-swap on its version; an `objectWritten` event follows. */
 export interface WriteObjectEffect {
   readonly kind: 'writeObject';
   readonly name: string;
   readonly expectedVersion: number;
-  /** Stands in the object, so that a lost answer can be resolved by reading back. */
+  /** Stored with the object, so that reading it back shows whether a write without a response took effect. */
   readonly writeId: string;
   readonly value: string;
 }
-/** Send a caller's request to a server. */
+/** Sends a caller's request to an upstream server or to a daemon of another side. */
 export interface ForwardEffect {
   readonly kind: 'forward';
   readonly requestId: number;
   readonly attempt: number;
   readonly server: ServerId;
   readonly address: string;
-  /** Null for a balanced group, and for a request that goes to another side. */
+  /** The fencing token; null for a balanced group and for a request that is forwarded to another side. */
   readonly token: FencingToken | null;
-  /** Connections this daemon may hold to the address. */
+  /** The largest number of connections that this daemon may open to the address. */
   readonly connections: number;
-  /** Daemons the request has passed, this one included. */
+  /** The number of daemons that the request has passed through, this one included. */
   readonly hops: number;
-  /** The address is a daemon of another side: its outcome header tells what became of the request. */
+  /**
+   * Whether the address is a daemon of another side, whose outcome header reports whether the request was
+   * run.
+   */
   readonly toOtherSide: boolean;
   readonly deadlineAt: Milliseconds;
 }
-/** What a server needs to check that it owns the key of a request. */
+/** The token by which an upstream server checks that it owns the key of a request. */
 export interface FencingToken {
   readonly group: string;
   readonly unit: UnitNumber;
   readonly epoch: Epoch;
 }
-/** What can be said about whether a request was run. */
+/** Whether an upstream server ran a request, as far as the daemon can prove. */
 export type Outcome = 'answered' | 'not-run' | 'unknown';
 
-/** Answer a caller with a problem of the router's own. */
+/** Sends a caller an error response that the daemon generates itself. */
 export interface AnswerEffect {
   readonly kind: 'answer';
   readonly requestId: number;
@@ -72,30 +77,30 @@
   readonly outcome: Outcome;
   readonly title: string;
   readonly detail: string;
-  /** When to come back, in seconds, or null. */
+  /** The delay after which the caller may retry, in seconds, or null for no `retry-after` header. */
   readonly retryAfterSeconds: number | null;
 }
-/** Give up an attempt that is under way: the caller left or the deadline passed. */
+/** Cancels an attempt in flight because the caller disconnected or the deadline passed. */
 export interface CancelEffect {
   readonly kind: 'cancel';
   readonly requestId: number;
   readonly attempt: number;
 }
-/** Answer an operator's command. */
+/** Reports the result of an operator's command. */
 export interface CommandResultEffect {
   readonly kind: 'commandResult';
   readonly commandId: number;
   readonly accepted: boolean;
   readonly detail: string;
 }
-/** Write one log line: only for a change of state. */
+/** Writes one log line. Used only for changes of state. */
 export interface LogEffect {
   readonly kind: 'log';
   readonly level: 'info' | 'warn' | 'error';
   readonly text: string;
 }
 
-/** Anything the reducer may ask for. */
+/** Any effect that the reducer may return. */
 export type Effect =
   | SendEffect
   | ControlServerEffect
--- a/src/core/events.ts
+++ b/src/core/events.ts
@@ -1,21 +1,21 @@
 /**
- * Everything that can happen to a daemon. Time and entropy arrive in events: the reducer reads no clock
- * and draws no random number of its own.
+ * The events that a daemon's reducer handles. Events carry the time, and the daemon's identity carries the
+ * random seed: the reducer reads no clock and no other source of entropy.
  */
 import type { ControlReply } from './server-control.js';
 import type { Milliseconds, ServerId, ShardId, UnitNumber } from './identifiers.js';
 import type { Envelope } from './messages.js';
 
-/** Time passed. */
+/** The periodic timer fired. */
 export interface TickEvent {
   readonly kind: 'tick';
 }
-/** A message came from another daemon. */
+/** A message from another daemon arrived. */
 export interface PeerMessageEvent {
   readonly kind: 'peerMessage';
   readonly envelope: Envelope;
 }
-/** A server answered a control call. */
+/** An upstream server responded to a control call. */
 export interface ControlReplyEvent {
   readonly kind: 'controlReply';
   readonly server: ServerId;
@@ -23,22 +23,25 @@
   readonly term: number;
   readonly reply: ControlReply;
 }
-/** The store answered a read. `version` 0 means that there is no such object. */
+/**
+ * A read of the store ended. `version` 0 means that the object does not exist; `result` null means that the
+ * read failed.
+ */
 export interface ObjectReadEvent {
   readonly kind: 'objectRead';
   readonly name: string;
   readonly result: { readonly version: number; readonly value: string; readonly writeId: string } | null;
 }
-/** The store answered a write, or did not. */
+/** A write to the store ended, with or without a response. */
 export interface ObjectWrittenEvent {
   readonly kind: 'objectWritten';
   readonly name: string;
   readonly writeId: string;
-  /** `unknown`: no answer came; the write may have taken effect. */
+  /** `unknown`: the write may have taken effect, since no conclusive response arrived. */
   readonly result: 'written' | 'conflict' | 'unknown' | 'refused';
   readonly version: number;
 }
-/** A caller's request, its headers read and its body not yet. */
+/** A caller's request arrived. Its headers have been read; its body may still be arriving. */
 export interface RequestArrivedEvent {
   readonly kind: 'requestArrived';
   readonly requestId: number;
@@ -47,21 +50,21 @@
   readonly path: string;
   readonly query: string;
   readonly headers: Readonly<Record<string, string | string[] | undefined>>;
-  /** The body is held whole (or there is none), so another attempt can send it again. */
+  /** Whether a retry can send the body again: it is buffered completely, or the request has none. */
   readonly replayable: boolean;
 }
-/** The process is to stop as planned: it gives up its roles. */
+/** A planned stop of the process began; the daemon gives up its leaderships. */
 export interface StoppingEvent {
   readonly kind: 'stopping';
 }
-/** How one attempt to have a server run a request ended. */
+/** The result of one attempt to have an upstream server run a request. */
 export type AttemptResult =
   | { readonly kind: 'answered' }
-  /** The server said that it did not run the request. */
+  /** The server responded that it did not run the request. */
   | { readonly kind: 'refused'; readonly reason: string }
-  /** No byte of the request left: certainly not run. */
+  /** No byte of the request was sent, so the server cannot have run it. */
   | { readonly kind: 'notSent'; readonly reason: string }
-  /** Bytes left and no whole answer came. */
+  /** Bytes of the request may have been sent and no complete response arrived: the server may have run it. */
   | { readonly kind: 'lost'; readonly reason: string; readonly answerStarted: boolean };
 export interface AttemptEndedEvent {
   readonly kind: 'attemptEnded';
@@ -69,18 +72,21 @@
   readonly attempt: number;
   readonly result: AttemptResult;
 }
-/** The head of a server's answer came and goes out to the caller: the deadline no longer applies. */
+/**
+ * The head of a server's response arrived and is being forwarded to the caller: the deadline no longer
+ * applies.
+ */
 export interface AnswerStartedEvent {
   readonly kind: 'answerStarted';
   readonly requestId: number;
   readonly attempt: number;
 }
-/** The caller went away. */
+/** The caller closed its connection before its response was complete. */
 export interface CallerLeftEvent {
   readonly kind: 'callerLeft';
   readonly requestId: number;
 }
-/** An operator's command that changes something. */
+/** An operator's command that changes ownership, replicas or the configuration. */
 export type OperatorCommand =
   | { readonly action: 'move'; readonly group: string; readonly unit: UnitNumber; readonly target: ServerId }
   | {
@@ -93,10 +99,10 @@
   | { readonly action: 'recover'; readonly shard: ShardId }
   | {
       readonly action: 'configure';
-      /** The version the operator saw. */
+      /** The configuration version that the operator's change is based on. */
       readonly expectedVersion: number;
       readonly text: string;
-      /** Who asks; another operator whose change loses is told. */
+      /** The operator's name, reported to another operator whose concurrent change is rejected. */
       readonly operator: string;
     };
 export interface OperatorCommandEvent {
@@ -105,7 +111,7 @@
   readonly command: OperatorCommand;
 }
 
-/** Any event. */
+/** Any event that the reducer handles. */
 export type DaemonEvent =
   | TickEvent
   | StoppingEvent
@@ -119,7 +125,7 @@
   | CallerLeftEvent
   | OperatorCommandEvent;
 
-/** An event with the time at which it reached the daemon, on the daemon's own steady clock. */
+/** An event with the time at which it reached the daemon, on the daemon's own monotonic clock. */
 export interface TimedEvent {
   readonly now: Milliseconds;
   readonly event: DaemonEvent;
--- a/src/core/hashing.ts
+++ b/src/core/hashing.ts
@@ -1,18 +1,18 @@
 /**
- * One hash for keys, shards and placement, from the `xxhash-wasm` library.
+ * The hash function for keys, shards and placement (xxHash32, from the `xxhash-wasm` library).
  */
 import xxhash from 'xxhash-wasm';
 
 const { h32 } = await xxhash();
 
-/** A 32-bit hash of a text. */
+/** Returns the 32-bit hash of a text. */
 export function hash32(text: string, seed = 0): number {
   return h32(text, seed);
 }
 
 /**
- * Orders candidates for a subject by rendezvous hashing: every caller with the same candidates gets the
- * same order, and losing one candidate moves only what it had.
+ * Orders candidates for a subject by rendezvous hashing: every daemon with the same candidates computes the
+ * same order, and removing a candidate changes the first choice only of the subjects that had it first.
  */
 export function rendezvousOrder(subject: string, candidates: readonly string[]): string[] {
   const scored = candidates.map((candidate) => ({ candidate, score: hash32(`${subject}|${candidate}`) }));
--- a/src/core/messages.ts
+++ b/src/core/messages.ts
@@ -1,65 +1,70 @@
 /**
- * The messages between daemons, as a union told apart by `kind`. Each mirrors the message of the same
- * name in proto/messages.proto; `src/wire/codec.ts` carries one to the other.
+ * The messages between daemons, as a union discriminated by `kind`. Each type mirrors the message of the same
+ * name in proto/messages.proto; `src/wire/codec.ts` converts between them.
  */
 import type { DaemonId, Epoch, ReplicaId, ServerId, ShardId, UnitNumber } from './identifiers.js';
 
-/** What a daemon believes of another one. */
+/** The status of a member as one daemon sees it. */
 export type MemberStatus = 'alive' | 'suspect' | 'dead' | 'left';
 
-/** One daemon as membership knows it. */
+/** One daemon in the membership list. */
 export interface Member {
   readonly id: DaemonId;
-  /** Chosen at process start; a larger one replaces a smaller one. */
+  /** Chosen at process start; a record with a larger incarnation replaces one with a smaller incarnation. */
   readonly incarnation: number;
-  /** Grows within one incarnation when a daemon refutes a suspicion. */
+  /** Increases within one incarnation when the daemon refutes a suspicion or leaves. */
   readonly revision: number;
-  /** `ip:port` of the daemon's internal port. */
+  /** `ip:port` at which the daemon accepts messages from other daemons. */
   readonly address: string;
   readonly zone: string;
   readonly status: MemberStatus;
 }
 
-/** A short statement of what the sender knows, so that the receiver sees what either lacks. */
+/**
+ * A digest of the sender's state, by which the receiver detects that either of the two has missed updates.
+ */
 export interface Digest {
   readonly configurationVersion: number;
-  /** Sum of one hash for each shard's (generation, version), modulo 2^32. */
+  /** Sum of the hashes of each shard's (generation, version), modulo 2^32. */
   readonly tableDigest: number;
-  /** Sum of one hash for each member that is alive, modulo 2^32. */
+  /** Sum of the hashes of each alive or suspected member's (id, incarnation), modulo 2^32. */
   readonly memberDigest: number;
 }
 
-/** Units that one server owns, with the epoch of each at the same position. */
+/** The units that one server owns, with the epoch of each unit at the same index. */
 export interface Holding {
   readonly server: ServerId;
   readonly units: UnitNumber[];
   readonly epochs: Epoch[];
 }
 
-/** A unit on its way to another server. */
+/** A unit that is being moved to another server. */
 export interface Move {
   readonly unit: UnitNumber;
   readonly target: ServerId;
 }
 
-/** A single key that is a unit of its own. */
+/** A single key that forms a unit of its own. */
 export interface Pin {
   readonly key: string;
   readonly unit: UnitNumber;
 }
 
-/** A change of a shard's ownership table; applied in order holdings, moves, pins. */
+/** A change of a shard's ownership table. Holdings are applied first, then moves, then pins. */
 export interface TableChange {
   readonly holdings: Holding[];
   readonly moves: Move[];
   readonly pins: Pin[];
 }
 
-/** One entry of a shard's replicated log. An empty change with no replicas is a leader's first entry. */
+/**
+ * One entry of a shard's replicated log. A new leader first appends an entry with an empty change and no
+ * replicas.
+ */
 export interface LogEntry {
   readonly term: number;
   readonly change: TableChange;
-  /** The new replica set, or empty when the entry does not change it. */
+  /** The new replica set, or empty when the entry leaves the set unchanged. */
   readonly replicas: ReplicaId[];
 }
 
@@ -83,11 +88,11 @@
 export interface MemberSync {
   readonly kind: 'memberSync';
   readonly members: Member[];
-  /** True in the answer, which must not be answered again. */
+  /** Whether this is the response to a sync; a response gets no response. */
   readonly reply: boolean;
 }
 
-/** Fields of every consensus message. */
+/** The fields that all consensus messages have. */
 export interface ShardScope {
   readonly shard: ShardId;
   readonly generation: number;
@@ -103,12 +108,15 @@
   readonly kind: 'voteReply';
   readonly granted: boolean;
   readonly preVote: boolean;
-  /** The candidate is no longer in the replica set. */
+  /** Whether the candidate is missing from the voter's replica set. */
   readonly removed: boolean;
 }
 export interface Append extends ShardScope {
   readonly kind: 'append';
-  /** Number of the leader's heartbeat round; echoed, and proves leadership after the round began. */
+  /**
+   * The leader's heartbeat round. A reply that echoes it proves that the follower accepted the leader after
+   * the round began.
+   */
   readonly round: number;
   readonly previousIndex: number;
   readonly previousTerm: number;
@@ -120,7 +128,7 @@
   readonly round: number;
   readonly success: boolean;
   readonly matchIndex: number;
-  /** The sender holds nothing of the shard: it joined the replica set and needs the whole table. */
+  /** Whether the sender has no state of the shard: it is new in the replica set and needs a snapshot. */
   readonly needsSnapshot: boolean;
 }
 export interface Snapshot extends ShardScope {
@@ -143,11 +151,13 @@
   readonly kind: 'tableDelta';
   readonly shard: ShardId;
   readonly generation: number;
-  /** Version the change applies to; 0 means the change is the whole table. */
+  /** The version that the change applies to; 0 means that the change contains the whole table. */
   readonly fromVersion: number;
   readonly toVersion: number;
   readonly leader: DaemonId;
-  /** The daemon at the root of the dissemination tree, or empty for a direct answer that goes no further. */
+  /**
+   * The daemon at the root of the propagation tree, or empty for a direct response, which is not propagated.
+   */
   readonly root: DaemonId;
   readonly change: TableChange;
   readonly replicas: ReplicaId[];
@@ -186,17 +196,17 @@
   readonly reason: string;
 }
 
-/** Units that the sender's side gave up for good; sent until the other side says that it has them. */
+/** Units that the sender's side has permanently released; resent until the other side acknowledges them. */
 export interface HandOver {
   readonly kind: 'handOver';
   readonly group: string;
   readonly units: UnitNumber[];
-  /** The epoch at which each unit was given up: the other side grants above it. */
+  /** The epoch at which each unit was released; the other side grants the unit at a higher epoch. */
   readonly epochs: Epoch[];
-  /** Internal address of the leader that hands over. */
+  /** The internal address of the shard leader that hands the units over. */
   readonly replyAddress: string;
 }
-/** Units that the other side has committed as its own, at the epochs of the hand-over. */
+/** Acknowledges units that the receiving side has committed as its own, at the epochs of the hand-over. */
 export interface HandOverReply {
   readonly kind: 'handOverReply';
   readonly group: string;
@@ -204,12 +214,12 @@
   readonly epochs: Epoch[];
 }
 
-/** A leader that stops as planned asks a follower to stand for election at once. */
+/** Sent by a leader during a planned stop: asks a follower to start an election immediately. */
 export interface Campaign extends ShardScope {
   readonly kind: 'campaign';
 }
 
-/** Any message of consensus within a formed shard. */
+/** Any message between the replicas of a formed shard. */
 export type ConsensusMessage = VoteRequest | VoteReply | Append | AppendReply | Snapshot | Campaign;
 
 /** Any message between daemons. */
@@ -229,7 +239,7 @@
   | HandOver
   | HandOverReply;
 
-/** A message with its sender. */
+/** A message with its sender and the incarnations of sender and recipient. */
 export interface Envelope {
   readonly sender: DaemonId;
   readonly senderIncarnation: number;
@@ -238,7 +248,7 @@
   readonly message: PeerMessage;
 }
 
-/** A change that changes nothing. */
+/** Creates a change without holdings, moves or pins. */
 export function emptyChange(): TableChange {
   return { holdings: [], moves: [], pins: [] };
 }
--- a/src/core/random.ts
+++ b/src/core/random.ts
@@ -1,12 +1,12 @@
 /**
- * A seeded source of random numbers. The seed is the entropy that arrives with the daemon's start, so a
- * run can be repeated. Uses the generator of the `pure-rand` library.
+ * A seeded random number generator (xoroshiro128+, from the `pure-rand` library). The seed is part of the
+ * daemon's identity, so that a run can be reproduced.
  */
 import { unsafeUniformIntDistribution, xoroshiro128plus, type RandomGenerator } from 'pure-rand';
 
 const UNIT_RANGE = 0x40000000;
 
-/** Draws numbers from one seeded sequence. */
+/** Generates the numbers of one seeded sequence. */
 export class SeededRandom {
   readonly #generator: RandomGenerator;
 
@@ -14,17 +14,17 @@
     this.#generator = xoroshiro128plus(seed | 0);
   }
 
-  /** A number in [0, 1). */
+  /** Returns a number in [0, 1). */
   fraction(): number {
     return unsafeUniformIntDistribution(0, UNIT_RANGE - 1, this.#generator) / UNIT_RANGE;
   }
 
-  /** A whole number in [0, bound). `bound` must be at least 1. */
+  /** Returns an integer in [0, bound). `bound` must be at least 1. */
   below(bound: number): number {
     return unsafeUniformIntDistribution(0, bound - 1, this.#generator);
   }
 
-  /** One of the items, or undefined when there are none. */
+  /** Returns a random item, or undefined when there are none. */
   pick<Item>(items: readonly Item[]): Item | undefined {
     return items.length === 0 ? undefined : items[this.below(items.length)];
   }
--- a/src/core/reducer.ts
+++ b/src/core/reducer.ts
@@ -1,6 +1,7 @@
 /**
- * The one reducer over all events. Deterministic: the same events at the same times from the same start
- * give the same effects. The state is changed in place; effects come back as data.
+ * The reducer that handles all events of a daemon. Deterministic: the same initial state and the same events
+ * at the same times produce the same effects. The state is changed in place; the effects are returned as
+ * data.
  */
 import * as commands from './commands/operator-commands.js';
 import { CONFIGURATION_OBJECT } from './configuration/routing-configuration.js';
@@ -38,7 +39,7 @@
 import * as requests from './request/request-reducer.js';
 
 /**
- * Takes one event in.
+ * Applies one event to the state and returns the effects to perform.
  *
  * @example
  * const effects = reduce(state, { now: 20, event: { kind: 'tick' } });
@@ -102,7 +103,10 @@
   requests.tickRequests(context);
 }
 
-/** Gives up every role; requests under way go on. */
+/**
+ * Begins a planned stop: transfers leadership where another replica can take over, and leaves the membership.
+ * Requests in flight continue.
+ */
 function stop(context: ReducerContext): void {
   context.state.stopping = true;
   for (const { replica } of [...context.state.leaderships.values()]) {
@@ -140,8 +144,9 @@
 function receiveEnvelope(context: ReducerContext, envelope: Envelope): void {
   const { state } = context;
   const { recipientIncarnation, message, sender } = envelope;
-  const forAnotherLife = recipientIncarnation !== 0 && recipientIncarnation !== state.identity.incarnation;
-  if (forAnotherLife && state.rules.checkIncarnation) {
+  const forAnotherIncarnation =
+    recipientIncarnation !== 0 && recipientIncarnation !== state.identity.incarnation;
+  if (forAnotherIncarnation && state.rules.checkIncarnation) {
     state.counters.peer_messages_dropped += 1;
     return;
   }
@@ -177,7 +182,10 @@
   }
 }
 
-/** The replica a message is for. One that joins a shard is made when the leader's first snapshot comes. */
+/**
+ * Returns the replica that a message is for. Creates the replica of a daemon new to the shard when the
+ * leader's first snapshot arrives.
+ */
 function replicaFor(context: ReducerContext, message: ConsensusMessage): ShardReplica | undefined {
   const { replicas } = context.state;
   const known = replicas.get(message.shard);
--- a/src/core/safety-rules.ts
+++ b/src/core/safety-rules.ts
@@ -1,39 +1,44 @@
 /**
- * The rules on which the promises rest, each with a switch. They are all on in the product; the
- * simulation switches one off at a time to prove that its checkers notice (a mutation).
+ * The rules on which the safety guarantees depend, each with a switch. All rules are enforced in production;
+ * the simulation turns off one rule at a time (a mutation) to prove that its checkers detect the violation.
  */
 
-/** True: the rule holds. */
+/** The switch of each rule; true means that the rule is enforced. */
 export interface SafetyRules {
-  /** A silent server's units go elsewhere only after its lease has run out. */
+  /** The units of an unresponsive server are reassigned only after its lease has expired. */
   readonly waitForLease: boolean;
-  /** A new leader counts the lease from its own election for servers it has not heard from. */
+  /**
+   * A new leader assumes that a server it has no report from was granted a lease at the time of the election.
+   */
   readonly waitAfterElection: boolean;
-  /** A stamp renews a lease only after a quorum has confirmed the leader since the stamp came. */
+  /**
+   * A server's clock stamp renews a lease only after a quorum has confirmed the leader since the stamp
+   * arrived.
+   */
   readonly confirmStampByQuorum: boolean;
-  /** A unit moves only after its owner acknowledged the revocation. */
+  /** A unit moves only after its owner has acknowledged the revocation. */
   readonly waitForRevocation: boolean;
-  /** A unit goes to another side only after its owner on this side gave it up. */
+  /** A unit is handed over to another side only after its owner on this side has released it. */
   readonly releaseBeforeHandOver: boolean;
-  /** A change counts as committed only when a majority of replicas holds it. */
+  /** A change is committed only when a majority of replicas has it in the log. */
   readonly commitByQuorum: boolean;
-  /** A message for another life of a daemon is dropped; a restarted daemon is a new replica. */
+  /** A daemon drops a message for another incarnation of itself; a restarted daemon is a new replica. */
   readonly checkIncarnation: boolean;
-  /** A replica votes once in a term. */
+  /** A replica votes for at most one candidate in a term. */
   readonly voteOncePerTerm: boolean;
-  /** Configurations are put in force only in growing order. */
+  /** A daemon applies configurations only in increasing order of version. */
   readonly configurationOnlyForward: boolean;
-  /** Ownership tables are taken over only in growing order. */
+  /** A daemon applies updates of an ownership table only in increasing order of version. */
   readonly tableOnlyForward: boolean;
-  /** A request that may not be repeated is not sent again once a server may have run it. */
+  /** A non-repeatable request is not retried once a server may have run it. */
   readonly neverRepeatUnrepeatable: boolean;
-  /** `not-run` is said only of a request that no server can have run. */
+  /** The outcome `not-run` is reported only for a request that no server can have run. */
   readonly sayUnknownAfterLoss: boolean;
-  /** A draining server is given no new work. */
+  /** A draining server is granted no further units and sent no new requests of balanced groups. */
   readonly respectDraining: boolean;
 }
 
-/** The rules as they ship. */
+/** The rules as enforced in production. */
 export const ALL_RULES: SafetyRules = {
   waitForLease: true,
   waitAfterElection: true,
--- a/src/core/timing.ts
+++ b/src/core/timing.ts
@@ -1,44 +1,51 @@
 /**
- * The time constants of the control plane. Together they carry the promise that a key is served again
- * within 2 s of a loss: see docs/design/leases.md for the sum.
+ * The time constants of the control plane. Together they ensure that a key is served again within 2 s of a
+ * loss: docs/design/leases.md gives the sum.
  */
 import type { Milliseconds } from './identifiers.js';
 
-/** Every duration the reducer uses, in milliseconds. */
+/** The durations that the reducer uses, in milliseconds. */
 export interface Timing {
-  /** How often the runtime sends a `tick`. */
+  /** The interval between two `tick` events. */
   readonly tick: Milliseconds;
-  /** Between two pings of the membership protocol. */
+  /** The interval between two pings of the membership protocol. */
   readonly pingInterval: Milliseconds;
-  /** Unanswered pings turn indirect after this long. */
+  /**
+   * The time without an acknowledgement after which other members are asked to ping the target (an indirect
+   * ping).
+   */
   readonly pingTimeout: Milliseconds;
-  /** A suspected member is declared dead after this long. */
+  /** The time after which a suspected member is declared dead. */
   readonly suspicion: Milliseconds;
-  /** A leader's heartbeat to the followers of its shard. */
+  /** The interval between a leader's heartbeats to the followers of its shard. */
   readonly heartbeat: Milliseconds;
-  /** Shortest silence after which a follower stands for election. */
+  /** The shortest time without leader contact after which a follower starts an election. */
   readonly electionMinimum: Milliseconds;
-  /** Added to the shortest silence, times a random number in [0, 1). */
+  /** Added to the minimum election timeout after multiplication by a random number in [0, 1). */
   readonly electionSpread: Milliseconds;
-  /** How long a server's lease lasts on the server's own clock. */
+  /** The duration of a server's lease, on the server's own clock. */
   readonly serverLease: Milliseconds;
-  /** Between two renewals of a server's lease. */
+  /** The interval between two renewals of a server's lease. */
   readonly renewInterval: Milliseconds;
-  /** A control call without an answer is given up after this long. */
+  /** The timeout of a control call to a server. */
   readonly controlTimeout: Milliseconds;
-  /** Added to the lease before a silent server's units go elsewhere: covers clock drift. */
+  /**
+   * Added to the lease duration before an unresponsive server's units are reassigned, to cover clock drift.
+   */
   readonly driftMargin: Milliseconds;
-  /** A replica silent for this long, and not alive by membership, is replaced. */
+  /**
+   * The time without a reply after which a replica is replaced if the membership does not list it as alive.
+   */
   readonly replicaReplacement: Milliseconds;
-  /** A new shard leader waits this long for servers to report before the first assignment. */
+  /** The time that a new shard leader waits for reports from servers before it first assigns units. */
   readonly firstAssignment: Milliseconds;
-  /** Between two looks at the balance of a shard. */
+  /** The interval between two checks of the balance of a shard. */
   readonly rebalanceInterval: Milliseconds;
-  /** Between two tries to reach the platform's store. */
+  /** The delay before the next call to the store after a failed one. */
   readonly storeRetry: Milliseconds;
 }
 
-/** The values that ship. */
+/** The durations used in production. */
 export const DEFAULT_TIMING: Timing = {
   tick: 20,
   pingInterval: 1_000,
