--- a/src/core/consensus/election.ts
+++ b/src/core/consensus/election.ts
@@ -1,6 +1,6 @@
 /**
- * Elections within a shard. A replica first asks whether it could win (pre-vote), so that one that was
- * cut off does not depose a working leader on its return.
+ * Leader election within a shard. A replica first asks whether it could win (pre-vote), so that a replica
+ * that was partitioned does not depose a working leader when it reconnects.
  */
 import type { ReducerContext } from '../context.js';
 import type { ReplicaId } from '../identifiers.js';
@@ -8,14 +8,14 @@
 import { startLeading, stopLeading } from './replication.js';
 import { majorityOf, otherReplicas, type ShardReplica } from './shard-replica.js';
 
-/** Puts the next election off by a fresh random time. */
+/** Restarts the election timer with a new random timeout. */
 export function deferElection(context: ReducerContext, replica: ShardReplica): void {
   const { timing, random } = context.state;
   const silence = timing.electionMinimum + random.fraction() * timing.electionSpread;
   replica.electionDeadline = context.now + silence;
 }
 
-/** Follows a newer term; a leader of an older one stops leading. */
+/** Adopts a newer term. A leader of an older term steps down. */
 export function adoptTerm(context: ReducerContext, replica: ShardReplica, term: number): void {
   if (term <= replica.term) {
     return;
@@ -65,8 +65,8 @@
 }
 
 function continueWithMajority(context: ReducerContext, replica: ShardReplica): void {
-  const inSet = replica.log.replicas.filter((id) => replica.votes.has(id)).length;
-  if (inSet < majorityOf(replica.log.replicas.length)) {
+  const voteCount = replica.log.replicas.filter((id) => replica.votes.has(id)).length;
+  if (voteCount < majorityOf(replica.log.replicas.length)) {
     return;
   }
   if (replica.role === 'preCandidate') {
@@ -76,37 +76,42 @@
   }
 }
 
-/** Stands for election when the leader has been silent for too long. */
+/** Starts a pre-vote when the election timeout has passed without contact from a leader. */
 export function tickElection(context: ReducerContext, replica: ShardReplica): void {
   if (replica.electionDeadline === 0) {
     deferElection(context, replica);
   }
-  const inSet = replica.log.replicas.includes(replica.self);
-  const mayStand = replica.role !== 'leader' && inSet && !replica.dormant && !context.state.stopping;
-  if (mayStand && context.now >= replica.electionDeadline) {
+  const isInReplicaSet = replica.log.replicas.includes(replica.self);
+  const mayStartElection =
+    replica.role !== 'leader' && isInReplicaSet && !replica.dormant && !context.state.stopping;
+  if (mayStartElection && context.now >= replica.electionDeadline) {
     startPreVote(context, replica);
   }
 }
 
-/** The leader stops as planned and has chosen this replica: no pre-vote, since others still hear the leader. */
+/**
+ * Starts an election at the request of a leader that stops. Skips the pre-vote, which others would refuse
+ * while they still have recent contact with that leader.
+ */
 export function receiveCampaign(context: ReducerContext, replica: ShardReplica, message: Campaign): void {
   if (message.term === replica.term && replica.role === 'follower' && !context.state.stopping) {
     startElection(context, replica);
   }
 }
 
-/** Gives leadership to the follower that has come furthest. */
+/** Transfers leadership to the follower with the highest replicated index. */
 export function handLeadershipOn(context: ReducerContext, replica: ShardReplica): void {
   const { shard, generation, term, progress } = replica;
-  const [furthest] = otherReplicas(replica).sort(
+  const [mostCaughtUp] = otherReplicas(replica).sort(
     (left, right) => (progress.get(right)?.matchIndex ?? 0) - (progress.get(left)?.matchIndex ?? 0),
   );
-  if (furthest === undefined) {
-    // Nobody else can renew the leases that the requests in flight stand under.
+  if (mostCaughtUp === undefined) {
+    // No other replica can renew the server leases under which the requests in flight run, so this one keeps
+    // leading.
     return;
   }
   stopLeading(context, replica, 'a planned stop');
-  context.sendToReplica(furthest, { kind: 'campaign', shard, generation, term });
+  context.sendToReplica(mostCaughtUp, { kind: 'campaign', shard, generation, term });
 }
 
 function isUpToDate(replica: ShardReplica, message: VoteRequest): boolean {
@@ -132,8 +137,8 @@
   if (message.term < replica.term || !isUpToDate(replica, message)) {
     return false;
   }
-  const free = replica.votedFor === null || replica.votedFor === candidate;
-  if (!free && context.state.rules.voteOncePerTerm) {
+  const mayVote = replica.votedFor === null || replica.votedFor === candidate;
+  if (!mayVote && context.state.rules.voteOncePerTerm) {
     return false;
   }
   replica.votedFor = candidate;
@@ -141,7 +146,7 @@
   return true;
 }
 
-/** Votes, or says why not. */
+/** Decides on a vote or pre-vote and replies to the candidate. */
 export function receiveVoteRequest(
   context: ReducerContext,
   replica: ShardReplica,
@@ -169,7 +174,7 @@
   }
 }
 
-/** Counts a vote. */
+/** Counts a granted vote or pre-vote; adopts a newer term from a refusal. */
 export function receiveVoteReply(
   context: ReducerContext,
   replica: ShardReplica,
--- a/src/core/consensus/replicated-log.ts
+++ b/src/core/consensus/replicated-log.ts
@@ -1,10 +1,11 @@
 /**
- * The log of a shard in memory: a base below which entries were dropped, and the entries after it.
+ * A shard's replicated log in memory: the entries after a base index; compaction has dropped the entries up
+ * to it.
  */
 import type { ReplicaId } from '../identifiers.js';
 import type { LogEntry } from '../messages.js';
 
-/** Indices count from 1; index 0 stands before the first entry. */
+/** A log whose indices start at 1; index 0 is the position before the first entry. */
 export class ReplicatedLog {
   #baseIndex: number;
   #baseTerm: number;
@@ -19,7 +20,7 @@
     this.#replicas = replicas;
   }
 
-  /** Index of the last entry that was dropped. */
+  /** Index of the last entry that compaction dropped. */
   get baseIndex(): number {
     return this.#baseIndex;
   }
@@ -34,28 +35,28 @@
     return this.#entries.at(-1)?.term ?? this.#baseTerm;
   }
 
-  /** The newest replica set in the log, committed or not. */
+  /** The newest replica set in the log, whether its entry is committed or not. */
   get replicas(): readonly ReplicaId[] {
     return this.#replicas;
   }
 
-  /** Term of the entry at an index, or undefined when the log does not hold it. */
+  /** Returns the term of the entry at an index, or undefined when the log does not contain the entry. */
   termAt(index: number): number | undefined {
     return index === this.#baseIndex ? this.#baseTerm : this.entryAt(index)?.term;
   }
 
-  /** The entry at an index, or undefined. */
+  /** Returns the entry at an index, or undefined when the log does not contain it. */
   entryAt(index: number): LogEntry | undefined {
     return this.#entries[index - this.#baseIndex - 1];
   }
 
-  /** At most `limit` entries from an index on. */
+  /** Returns at most `limit` entries, starting at an index. */
   entriesFrom(index: number, limit: number): LogEntry[] {
     const start = index - this.#baseIndex - 1;
     return this.#entries.slice(start, start + limit);
   }
 
-  /** Adds an entry and returns its index. */
+  /** Appends an entry and returns its index. */
   append(entry: LogEntry): number {
     this.#entries.push(entry);
     if (entry.replicas.length > 0) {
@@ -64,30 +65,30 @@
     return this.lastIndex;
   }
 
-  /** Drops the entries from an index on. */
+  /** Drops the entry at an index and all later entries. */
   truncateFrom(index: number): void {
     this.#entries.length = Math.max(0, index - this.#baseIndex - 1);
-    this.#replicas = this.#replicasUpTo(this.#entries.length);
+    this.#replicas = this.#replicasAfterEntries(this.#entries.length);
   }
 
-  /** Drops the entries up to an index: they are contained in the applied table. */
+  /** Drops the entries up to an index; the applied table already contains their changes. */
   compactTo(index: number): void {
     const count = index - this.#baseIndex;
     if (count <= 0) {
       return;
     }
     this.#baseTerm = this.termAt(index) ?? this.#baseTerm;
-    this.#baseReplicas = this.#replicasUpTo(count);
+    this.#baseReplicas = this.#replicasAfterEntries(count);
     this.#entries = this.#entries.slice(count);
     this.#baseIndex = index;
   }
 
-  /** The replica set in force at an index. */
+  /** Returns the replica set in effect at an index. */
   replicasAt(index: number): readonly ReplicaId[] {
-    return this.#replicasUpTo(index - this.#baseIndex);
+    return this.#replicasAfterEntries(index - this.#baseIndex);
   }
 
-  #replicasUpTo(count: number): readonly ReplicaId[] {
+  #replicasAfterEntries(count: number): readonly ReplicaId[] {
     const last = this.#entries.slice(0, count).findLast((entry) => entry.replicas.length > 0);
     return last?.replicas ?? this.#baseReplicas;
   }
--- a/src/core/consensus/replication.ts
+++ b/src/core/consensus/replication.ts
@@ -1,6 +1,6 @@
 /**
- * Replication within a shard: the leader's heartbeats and entries, the followers' answers, commitment,
- * and the snapshot for a replica that lacks entries the leader has dropped.
+ * Log replication within a shard: the leader's heartbeats and entries, the followers' replies, commitment,
+ * and snapshots for a replica that lacks entries which the leader has compacted.
  */
 import type { ReducerContext } from '../context.js';
 import type { ReplicaId } from '../identifiers.js';
@@ -20,10 +20,10 @@
 
 const ENTRIES_PER_MESSAGE = 64;
 const KEPT_ENTRIES = 256;
-/** A leader without a quorum for this many election times steps down. */
+/** A leader steps down after this many maximum election timeouts without replies from a quorum. */
 const QUORUM_PATIENCE = 2;
 
-/** Takes up leadership after a won election. */
+/** Makes the replica the leader after it won an election. */
 export function startLeading(context: ReducerContext, replica: ShardReplica): void {
   replica.role = 'leader';
   replica.leader = replica.self;
@@ -32,12 +32,12 @@
   replica.quorumContactAt = context.now;
   replica.nextHeartbeatAt = context.now;
   context.state.counters.elections_won += 1;
-  context.log('info', `leads shard ${replica.shard} in term ${replica.term}`);
+  context.log('info', `became leader of shard ${replica.shard} in term ${replica.term}`);
   onLeadershipStarted(context, replica);
   propose(context, replica, emptyChange());
 }
 
-/** Gives leadership up, if the replica has it. */
+/** Ends the replica's leadership; does nothing when the replica does not lead. */
 export function stopLeading(context: ReducerContext, replica: ShardReplica, reason: string): void {
   if (replica.role !== 'leader') {
     return;
@@ -45,12 +45,12 @@
   replica.role = 'follower';
   replica.leader = null;
   context.state.counters.leadership_lost += 1;
-  context.log('warn', `no longer leads shard ${replica.shard}: ${reason}`);
+  context.log('warn', `stepped down as leader of shard ${replica.shard}: ${reason}`);
   deferElection(context, replica);
   onLeadershipStopped(context, replica);
 }
 
-/** Adds an entry to the leader's log and sends it. Returns its index. */
+/** Appends an entry to the leader's log, sends it to the followers and returns its index. */
 export function propose(
   context: ReducerContext,
   replica: ShardReplica,
@@ -117,7 +117,7 @@
   });
 }
 
-/** Starts a heartbeat round: every follower gets what it lacks. */
+/** Starts a heartbeat round: sends each follower the entries that it lacks. */
 export function broadcast(context: ReducerContext, replica: ShardReplica): void {
   replica.round += 1;
   replica.nextHeartbeatAt = context.now + context.state.timing.heartbeat;
@@ -127,15 +127,15 @@
   updateQuorumRound(context, replica);
 }
 
-/** Heartbeats when due; steps down when no quorum answers. */
+/** Sends a heartbeat when one is due. Steps down when no quorum replies. */
 export function tickReplication(context: ReducerContext, replica: ShardReplica): void {
   if (replica.role !== 'leader') {
     return;
   }
   const { timing } = context.state;
-  const patience = QUORUM_PATIENCE * (timing.electionMinimum + timing.electionSpread);
-  if (context.now - replica.quorumContactAt > patience) {
-    stopLeading(context, replica, 'no quorum answers');
+  const quorumTimeout = QUORUM_PATIENCE * (timing.electionMinimum + timing.electionSpread);
+  if (context.now - replica.quorumContactAt > quorumTimeout) {
+    stopLeading(context, replica, 'no quorum of replicas replies');
     return;
   }
   if (context.now >= replica.nextHeartbeatAt) {
@@ -163,7 +163,7 @@
   matches.sort((left, right) => right - left);
   const quorum = context.state.rules.commitByQuorum ? majorityOf(matches.length) : 1;
   const candidate = matches[quorum - 1] ?? 0;
-  // Only an entry of the leader's own term commits by counting (Raft, section 5.4.2).
+  // Only an entry of the leader's current term may be committed by counting replicas (Raft, section 5.4.2).
   if (candidate > replica.commitIndex && log.termAt(candidate) === replica.term) {
     replica.commitIndex = candidate;
     applyCommitted(context, replica);
@@ -215,7 +215,7 @@
   context: ReducerContext,
   replica: ShardReplica,
   leader: ReplicaId,
-  answer: Pick<AppendReply, 'round' | 'success' | 'matchIndex'>,
+  fields: Pick<AppendReply, 'round' | 'success' | 'matchIndex'>,
 ): void {
   const { shard, generation, term } = replica;
   context.sendToReplica(leader, {
@@ -224,18 +224,18 @@
     generation,
     term,
     needsSnapshot: false,
-    ...answer,
+    ...fields,
   });
 }
 
-/** Tells a leader that this replica, new in the set, holds nothing of the shard yet. */
+/** Requests a snapshot from the leader: this replica is new in the set and has no state of the shard. */
 export function askForSnapshot(context: ReducerContext, leader: ReplicaId, message: Append): void {
   const { shard, generation, term, round } = message;
-  const nothing = { success: false, matchIndex: 0, needsSnapshot: true };
-  context.sendToReplica(leader, { kind: 'appendReply', shard, generation, term, round, ...nothing });
+  const noState = { success: false, matchIndex: 0, needsSnapshot: true };
+  context.sendToReplica(leader, { kind: 'appendReply', shard, generation, term, round, ...noState });
 }
 
-/** Takes entries from the leader, or says from where they are missing. */
+/** Appends the leader's entries, or replies with the index after which entries are missing. */
 export function receiveAppend(
   context: ReducerContext,
   replica: ShardReplica,
@@ -249,8 +249,8 @@
   }
   followLeader(context, replica, leader, message.term);
   const { log } = replica;
-  const covered = message.previousIndex < log.baseIndex;
-  const success = covered || log.termAt(message.previousIndex) === message.previousTerm;
+  const isCompacted = message.previousIndex < log.baseIndex;
+  const success = isCompacted || log.termAt(message.previousIndex) === message.previousTerm;
   let matchIndex = Math.min(log.lastIndex, Math.max(0, message.previousIndex - 1));
   if (success) {
     mergeEntries(replica, message);
@@ -261,7 +261,7 @@
   answerLeader(context, replica, leader, { round, success, matchIndex });
 }
 
-/** Takes a whole table in place of entries that the leader has dropped. */
+/** Replaces the log and the table with a snapshot, in place of entries that the leader has compacted. */
 export function receiveSnapshot(
   context: ReducerContext,
   replica: ShardReplica,
@@ -285,7 +285,7 @@
   });
 }
 
-/** Notes how far a follower has come. */
+/** Records a follower's progress and sends the entries that it still lacks. */
 export function receiveAppendReply(
   context: ReducerContext,
   replica: ShardReplica,
--- a/src/core/consensus/shard-replica.ts
+++ b/src/core/consensus/shard-replica.ts
@@ -1,8 +1,9 @@
 /**
- * One replica of a control shard's ownership log, kept in memory. The protocol is Raft (Ongaro and
+ * One replica of a control shard's ownership log, in memory only. The protocol is Raft (Ongaro and
  * Ousterhout, "In Search of an Understandable Consensus Algorithm", USENIX ATC 2014) with pre-votes and
- * one-at-a-time changes of the replica set. Since nothing is kept on disk, a restarted process never
- * acts as its former self: its incarnation is part of its replica id. See docs/design/consensus.md.
+ * membership changes of one replica at a time. Since votes and entries are not written to disk, a restarted
+ * process must not act as the replica it was before: its incarnation is part of its replica id. See
+ * docs/design/consensus.md.
  */
 import type { Milliseconds, ReplicaId, ShardId } from '../identifiers.js';
 import type { TableChange } from '../messages.js';
@@ -11,11 +12,11 @@
 
 export type ReplicaRole = 'follower' | 'preCandidate' | 'candidate' | 'leader';
 
-/** What a leader knows of one follower. */
+/** A leader's record of one follower's progress. */
 export interface FollowerProgress {
   nextIndex: number;
   matchIndex: number;
-  /** Last heartbeat round the follower answered. */
+  /** The newest heartbeat round that the follower replied to. */
   answeredRound: number;
   lastAnswerAt: Milliseconds;
 }
@@ -35,18 +36,21 @@
   table: OwnershipTable;
   electionDeadline: Milliseconds;
   lastLeaderContact: Milliseconds;
-  /** Told that it is no longer in the replica set: it stands in no election until a leader speaks to it. */
+  /**
+   * Whether a voter reported that this replica is no longer in the replica set. The replica then starts no
+   * election until a leader contacts it.
+   */
   dormant: boolean;
   readonly votes: Set<ReplicaId>;
   readonly progress: Map<ReplicaId, FollowerProgress>;
   round: number;
-  /** The newest heartbeat round that a majority, the leader included, has answered. */
+  /** The newest heartbeat round that a majority, the leader included, has acknowledged. */
   quorumRound: number;
   quorumContactAt: Milliseconds;
   nextHeartbeatAt: Milliseconds;
 }
 
-/** A replica of a newly formed generation. */
+/** Creates a replica of a newly formed generation of a shard. */
 export function createShardReplica(
   shard: ShardId,
   generation: number,
@@ -78,12 +82,12 @@
   };
 }
 
-/** How many of `count` replicas make a majority. */
+/** Returns the number of replicas that form a majority of `count`. */
 export function majorityOf(count: number): number {
   return Math.floor(count / 2) + 1;
 }
 
-/** The other replicas of the newest replica set. */
+/** Returns the other replicas in the newest replica set. */
 export function otherReplicas(replica: ShardReplica): ReplicaId[] {
   return replica.log.replicas.filter((id) => id !== replica.self);
 }
--- a/src/core/dissemination/configuration-spread.ts
+++ b/src/core/dissemination/configuration-spread.ts
@@ -1,6 +1,6 @@
 /**
- * Brings the routing configuration from the platform's store to every daemon. Only the watchers read the
- * store; all others learn along the tree, and the digests on pings repair what the tree missed.
+ * Propagates the routing configuration from the store to every daemon. Only a few watchers read the store;
+ * the other daemons receive it along the propagation tree, and the digests on pings repair missed updates.
  */
 import { parseRoutingConfiguration, CONFIGURATION_OBJECT } from '../configuration/routing-configuration.js';
 import { putInForce } from '../configuration/configuration-state.js';
@@ -12,16 +12,22 @@
 import type { ConfigurationPush } from '../messages.js';
 import { spread } from './spread-tree.js';
 
-/** How many daemons of a side read the store. */
+/** The number of daemons of a side that watch the store. */
 const WATCHERS = 2;
 
-/** A daemon joins the others first: they hold the configuration, and the store bears only a few readers. */
+/**
+ * A daemon waits this long after its start before it may watch the store, so that it first joins the other
+ * daemons, which have the configuration: the store supports only a few readers.
+ */
 const JOIN_FIRST: Milliseconds = 500;
 
-/** Who reads the store is worked out at most this often. */
+/** The shortest time between two selections of the watchers. */
 const CHOICE_KEPT: Milliseconds = 500;
 
-/** Whether this daemon is one of the few that read the store. Worked out anew when the members change, now and then. */
+/**
+ * Returns whether this daemon is a watcher of the store. Reselects the watchers when the membership has
+ * changed, at most once in each `WATCHER_SELECTION_INTERVAL`.
+ */
 export function isWatcher(context: ReducerContext): boolean {
   const { membership, configuration } = context.state;
   const members = aliveMembers(membership);
@@ -35,28 +41,25 @@
   return configuration.watcherChoice.own;
 }
 
-/** Starts the next wait for a newer configuration. */
+/** Starts the next watch for a newer configuration when one is due. */
 export function tickConfiguration(context: ReducerContext): void {
   const { configuration, startedAt } = context.state;
-  const young = context.now - startedAt < JOIN_FIRST;
-  if (young || configuration.watching || context.now < configuration.nextWatchAt || !isWatcher(context)) {
+  const isJoining = context.now - startedAt < JOIN_FIRST;
+  if (isJoining || configuration.watching || context.now < configuration.nextWatchAt || !isWatcher(context)) {
     return;
   }
   configuration.watching = true;
   context.emit({ kind: 'readObject', name: CONFIGURATION_OBJECT, afterVersion: configuration.version });
 }
 
-/** The store answered a watcher, or did not. */
+/** Handles the result of a watch of the configuration object, which may be a failure. */
 export function receiveConfigurationObject(context: ReducerContext, event: ObjectReadEvent): void {
   const { configuration, timing, counters } = context.state;
   configuration.watching = false;
   const reachable = event.result !== null;
   if (configuration.storeReachable !== reachable) {
     configuration.storeReachable = reachable;
-    context.log(
-      reachable ? 'info' : 'warn',
-      `the platform's store ${reachable ? 'answers' : 'does not answer'}`,
-    );
+    context.log(reachable ? 'info' : 'warn', `the store is ${reachable ? 'reachable' : 'unreachable'}`);
   }
   if (event.result === null) {
     counters.store_failures += 1;
@@ -72,7 +75,7 @@
   }
 }
 
-/** Puts a newer configuration in force and passes it on. */
+/** Applies a newer configuration and propagates it. */
 export function adoptConfiguration(context: ReducerContext, message: ConfigurationPush): void {
   const { configuration, rules, counters } = context.state;
   const known = message.version === configuration.version || message.version === configuration.refusedVersion;
@@ -85,7 +88,10 @@
     counters.configurations_refused += 1;
     configuration.refusedVersion = message.version;
     configuration.nextWatchAt = context.now + context.state.timing.storeRetry;
-    context.log('error', `configuration ${message.version} is refused: ${parsed.error.faults.join('; ')}`);
+    context.log(
+      'error',
+      `configuration ${message.version} is invalid and was not applied: ${parsed.error.faults.join('; ')}`,
+    );
     return;
   }
   putInForce(configuration, message.version, message.text, parsed.value);
@@ -99,7 +105,7 @@
   }
 }
 
-/** A peer saw that this daemon has a newer configuration. */
+/** Sends the configuration to a peer that requested it. */
 export function receiveConfigurationPull(context: ReducerContext, sender: DaemonId): void {
   const { version, text } = context.state.configuration;
   if (version > 0) {
--- a/src/core/dissemination/spread-tree.ts
+++ b/src/core/dissemination/spread-tree.ts
@@ -1,17 +1,17 @@
 /**
- * The tree along which news spreads: members in order of name, turned so that the sender is first, each
- * with a fixed number of children. Every member works the tree out alone; where two members see different
- * memberships a branch may be missed, and the digests on pings repair it.
+ * The propagation tree for updates: the members sorted by id and rotated so that the root comes first, each
+ * with a fixed number of children. Every member computes the tree on its own. When two members have different
+ * views of the membership, a subtree may miss an update; the digests on pings repair that.
  */
 import type { ReducerContext } from '../context.js';
 import type { DaemonId } from '../identifiers.js';
 import { aliveMembers } from '../membership/membership.js';
 import type { PeerMessage } from '../messages.js';
 
-/** Children of each member: 570 members are reached in four steps. */
+/** The number of children of each member: four steps reach 570 members. */
 export const SPREAD_FANOUT = 6;
 
-/** The members that one member passes news on to, in the tree of a root. */
+/** Returns the children of a member in the propagation tree of a root. */
 export function childrenInTree(members: readonly DaemonId[], root: DaemonId, self: DaemonId): DaemonId[] {
   const rootIndex = members.indexOf(root);
   const selfIndex = members.indexOf(self);
@@ -29,7 +29,7 @@
   return children;
 }
 
-/** Passes a message on along the tree of its root. */
+/** Sends a message to this daemon's children in the propagation tree of a root. */
 export function spread(context: ReducerContext, root: DaemonId, message: PeerMessage): void {
   const { membership } = context.state;
   const members = aliveMembers(membership).map((member) => member.id);
--- a/src/core/dissemination/table-spread.ts
+++ b/src/core/dissemination/table-spread.ts
@@ -1,5 +1,5 @@
 /**
- * Publishes changes of ownership tables to every router, and repairs copies that missed some.
+ * Propagates changes of ownership tables to every daemon, and repairs copies that missed a change.
  */
 import type { ShardReplica } from '../consensus/shard-replica.js';
 import type { ReducerContext } from '../context.js';
@@ -10,7 +10,7 @@
 import { spread } from './spread-tree.js';
 import { shardTableOf, type ShardTable, type TableView } from './table-view.js';
 
-/** A short statement of every shard's version. */
+/** Returns a digest of the versions of all shards' tables. */
 export function tableDigest(view: TableView): number {
   return view.digest;
 }
@@ -19,7 +19,7 @@
   return known.generation === 0 ? 0 : hash32(`${shard}:${known.generation}:${known.version}`);
 }
 
-/** Every shard's version. */
+/** Returns the version of each shard's table. */
 export function versionsOf(view: TableView): ShardVersion[] {
   return [...view.shards].map(([shard, { generation, version }]) => ({ shard, generation, version }));
 }
@@ -72,7 +72,7 @@
   };
 }
 
-/** Called by a leader for each committed entry: tells every router. */
+/** Propagates the change of a committed entry to every daemon. A leader calls it for each committed entry. */
 export function publishTableChange(
   context: ReducerContext,
   replica: ShardReplica,
@@ -87,7 +87,10 @@
   leadership.publishedVersion = index;
 }
 
-/** Called once by a new leader when its table is complete: routers that lack something ask for it. */
+/**
+ * Announces a new leader and its table version. A new leader calls it once, when its table is complete; a
+ * daemon whose copy is behind then requests the table.
+ */
 export function publishLeadership(context: ReducerContext, replica: ShardReplica): void {
   const leadership = context.state.leaderships.get(replica.shard);
   if (leadership === undefined) {
@@ -100,28 +103,31 @@
   spread(context, announcement.root, announcement);
 }
 
-/** Which of two (generation, version) pairs is newer. */
+/** Returns whether a (generation, version) pair is no newer than that of the known table. */
 function isOlder(generation: number, version: number, known: ShardTable): boolean {
   return generation < known.generation || (generation === known.generation && version <= known.version);
 }
 
-/** Takes a change in and passes it on; asks the sender for the whole table when a change was missed. */
+/**
+ * Applies a table change and propagates it. Requests the whole table from the sender when an earlier
+ * change was missed.
+ */
 export function receiveTableDelta(context: ReducerContext, sender: DaemonId, message: TableDelta): void {
   const { tables, rules, counters, leaderships } = context.state;
   const known = shardTableOf(tables, message.shard);
   if (leaderships.has(message.shard)) {
     return;
   }
-  const older = isOlder(message.generation, message.toVersion, known);
-  if (older && rules.tableOnlyForward) {
+  const isOutdated = isOlder(message.generation, message.toVersion, known);
+  if (isOutdated && rules.tableOnlyForward) {
     return;
   }
   if (message.root !== '') {
     spread(context, message.root, message);
   }
-  const whole = message.fromVersion === 0;
-  const follows = message.generation === known.generation && message.fromVersion === known.version;
-  if (whole || follows || !rules.tableOnlyForward) {
+  const isWholeTable = message.fromVersion === 0;
+  const isNextChange = message.generation === known.generation && message.fromVersion === known.version;
+  if (isWholeTable || isNextChange || !rules.tableOnlyForward) {
     counters.table_deltas_applied += 1;
     applyToCopy(tables, message);
     return;
@@ -131,23 +137,26 @@
   context.send(sender, { kind: 'tablePull', versions: [{ shard: message.shard, generation, version }] });
 }
 
-/** Answers a peer that listed its versions with each table that is newer here. */
+/**
+ * Sends a peer each table of which this daemon has a newer version than the peer listed. A request that
+ * lists a single shard gets only that shard.
+ */
 export function sendMissingTables(
   context: ReducerContext,
   peer: DaemonId,
   versions: readonly ShardVersion[],
 ): void {
   const { tables } = context.state;
-  const theirs = new Map(versions.map((entry) => [entry.shard, entry]));
-  const onlyOne = versions.length === 1;
+  const peerVersions = new Map(versions.map((entry) => [entry.shard, entry]));
+  const isSingleShardPull = versions.length === 1;
   for (const [shard, known] of tables.shards) {
-    const entry = theirs.get(shard);
-    const asked = entry !== undefined || !onlyOne;
+    const entry = peerVersions.get(shard);
+    const isRequested = entry !== undefined || !isSingleShardPull;
     const { generation, version, leader, table } = known;
-    const newer =
+    const isNewer =
       generation > (entry?.generation ?? 0) ||
       (generation === (entry?.generation ?? 0) && version > (entry?.version ?? 0));
-    if (asked && newer && generation > 0) {
+    if (isRequested && isNewer && generation > 0) {
       const replicas = [...known.replicas];
       const change = tableAsChange(table);
       context.send(peer, {
--- a/src/core/dissemination/table-view.ts
+++ b/src/core/dissemination/table-view.ts
@@ -1,13 +1,13 @@
 /**
- * A daemon's copy of every shard's ownership table, as its shard's leader last published it.
+ * A daemon's copies of all shards' ownership tables, as last published by the leader of each shard.
  */
 import type { DaemonId, Milliseconds, ReplicaId, ShardId, UnitNumber } from '../identifiers.js';
 import { createOwnershipTable, type OwnershipTable } from '../ownership/ownership-table.js';
 
-/** The copy of one shard's table. */
+/** A copy of one shard's ownership table. */
 export interface ShardTable {
   generation: number;
-  /** Index of the newest log entry the copy contains. */
+  /** The index of the newest log entry that the copy contains. */
   version: number;
   leader: DaemonId;
   replicas: readonly ReplicaId[];
@@ -16,21 +16,21 @@
 
 export interface TableView {
   readonly shards: Map<ShardId, ShardTable>;
-  /** Units of pinned keys, by group. */
+  /** The unit of each pinned key, by group. */
   readonly pins: Map<string, Map<string, UnitNumber>>;
-  /** Sum of the hashes of all (shard, generation, version), modulo 2^32. */
+  /** The sum of the hashes of all (shard, generation, version), modulo 2^32. */
   digest: number;
   nextPullAt: Milliseconds;
-  /** Configuration version that each peer last said it has in force. */
+  /** The configuration version that each peer last reported as in effect. */
   readonly peerVersions: Map<DaemonId, number>;
 }
 
-/** Knows no table. */
+/** Creates a view without tables. */
 export function createTableView(): TableView {
   return { shards: new Map(), pins: new Map(), digest: 0, nextPullAt: 0, peerVersions: new Map() };
 }
 
-/** The copy of a shard's table; an empty one is made if there is none. */
+/** Returns the copy of a shard's table, after creating an empty copy if there is none. */
 export function shardTableOf(view: TableView, shard: ShardId): ShardTable {
   let known = view.shards.get(shard);
   if (known === undefined) {
--- a/src/core/membership/member-exchange.ts
+++ b/src/core/membership/member-exchange.ts
@@ -1,61 +1,79 @@
 /**
- * Whole exchanges of what two members know: on joining, after a partition, and where news that is passed
- * on piece by piece has missed somebody.
+ * Full synchronisation of the membership lists of two daemons: when a daemon joins, after a partition, and
+ * when a daemon has missed updates propagated by gossip.
  */
 import type { ReducerContext } from '../context.js';
 import type { DaemonId, Milliseconds } from '../identifiers.js';
 import type { MemberSync } from '../messages.js';
 import { aliveMembers, isAlive, learnAll, memberDigest } from './membership.js';
 
-/** News has had its time to spread when a daemon has heard none for this long. */
+/**
+ * Gossip is assumed to have reached every member when a daemon has recorded no membership change for this
+ * long.
+ */
 const QUIET_BEFORE_SYNC: Milliseconds = 5_000;
-/** A daemon that has just started exchanges at once: many may be joining with it. */
+/**
+ * A daemon synchronises without waiting for a quiet period for this long after its start, since many daemons may be
+ * joining with it.
+ */
 const YOUNG_FOR: Milliseconds = 15_000;
-/** A daemon starts a whole exchange with a peer at most this often. */
+/**
+ * The shortest time between two full synchronisations that this daemon starts, whichever peer each is with.
+ */
 const SYNC_INTERVAL: Milliseconds = 2_000;
 
 /**
- * News that is passed on a few times may miss a member, above all while many join at once. When a peer
- * still sees other members after the news has been passed on, both exchange all they know.
+ * Starts a full synchronisation when a peer's membership still differs after gossip has had time to
+ * propagate. Gossip retransmits each update only a few times and may miss a member, above all while many
+ * daemons join at once.
  */
 export function compareMembers(context: ReducerContext, peer: DaemonId, theirDigest: number): void {
   const { membership } = context.state;
-  const quiet = context.now - membership.lastChangeAt >= QUIET_BEFORE_SYNC;
-  const young = context.now - context.state.startedAt < YOUNG_FOR;
-  const due = (quiet || young) && context.now >= membership.nextSyncAt;
-  if (due && theirDigest !== memberDigest(membership)) {
+  const isQuiet = context.now - membership.lastChangeAt >= QUIET_BEFORE_SYNC;
+  const isStarting = context.now - context.state.startedAt < YOUNG_FOR;
+  const isDue = (isQuiet || isStarting) && context.now >= membership.nextSyncAt;
+  if (isDue && theirDigest !== memberDigest(membership)) {
     membership.nextSyncAt = context.now + SYNC_INTERVAL;
     context.send(peer, { kind: 'memberSync', members: [...membership.members.values()], reply: false });
   }
 }
 
-/** Asks a seed or a lost member for all it knows, so that a start or a healed partition joins up. */
+/**
+ * Requests the membership list from the seeds when alone, otherwise from a random seed or dead member, so
+ * that a starting daemon joins and a healed partition merges.
+ */
 export function rejoin(context: ReducerContext): void {
   const { membership, random } = context.state;
-  const lost = [...membership.members.values()].filter((member) => member.status === 'dead');
-  const alone = aliveMembers(membership).length <= 1;
-  const addresses = [...lost.map((member) => member.address), ...membership.seeds];
+  const deadMembers = [...membership.members.values()].filter((member) => member.status === 'dead');
+  const isAlone = aliveMembers(membership).length <= 1;
+  const addresses = [...deadMembers.map((member) => member.address), ...membership.seeds];
   const target = random.pick(addresses);
-  const targets = alone ? membership.seeds : target === undefined ? [] : [target];
-  const claim = lost.find((member) => member.address === target);
-  const members = claim === undefined ? [membership.self] : [membership.self, claim];
+  const targets = isAlone ? membership.seeds : target === undefined ? [] : [target];
+  const deadMember = deadMembers.find((member) => member.address === target);
+  const members = deadMember === undefined ? [membership.self] : [membership.self, deadMember];
   for (const address of targets) {
     context.sendToAddress(address, { kind: 'memberSync', members, reply: false });
   }
 }
 
-/** A returning member sends itself and at most the one it took for dead. */
+/**
+ * The longest member list of a rejoin: the sender and at most one member that it had declared dead. A longer
+ * list is a full synchronisation.
+ */
 const REJOIN_CLAIM_LENGTH = 2;
 
-/** A joining or returning member: it gets all that we know, unless we already hold it alive. */
+/**
+ * Merges the members received and, unless the message is itself a reply, replies. The reply has the full
+ * list, unless the sender is already known as alive and sent no full list.
+ */
 export function receiveMemberSync(context: ReducerContext, sender: DaemonId, message: MemberSync): void {
   const { membership } = context.state;
-  const claimed = message.members.find((member) => member.id === sender);
-  const known = isAlive(membership, sender, claimed?.incarnation);
-  const wholeExchange = message.members.length > REJOIN_CLAIM_LENGTH;
+  const senderRecord = message.members.find((member) => member.id === sender);
+  const isKnownAlive = isAlive(membership, sender, senderRecord?.incarnation);
+  const isFullList = message.members.length > REJOIN_CLAIM_LENGTH;
   learnAll(context, message.members);
   if (!message.reply) {
-    const members = known && !wholeExchange ? [membership.self] : [...membership.members.values()];
+    const members = isKnownAlive && !isFullList ? [membership.self] : [...membership.members.values()];
     context.send(sender, { kind: 'memberSync', members, reply: true });
   }
 }
--- a/src/core/membership/membership.ts
+++ b/src/core/membership/membership.ts
@@ -1,8 +1,8 @@
 /**
  * Membership by gossip with suspicion and incarnations, after the SWIM protocol (Das, Gupta and Motivala,
- * "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership Protocol", DSN 2002): one
- * member is pinged in each interval, directly and then through others, and news rides on those messages.
- * Cost for a daemon does not grow with the number of daemons.
+ * "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership Protocol", DSN 2002): each
+ * daemon pings one member in each interval, directly and then through other members, and piggybacks
+ * membership updates on these messages. The cost for a daemon does not grow with the number of daemons.
  */
 import type { ReducerContext } from '../context.js';
 import { hash32 } from '../hashing.js';
@@ -14,11 +14,13 @@
 const UPDATES_PER_MESSAGE = 6;
 const RETRANSMIT_FACTOR = 3;
 const INDIRECT_PROBES = 2;
-/** A lost or parted member is tried again this often, so that a healed partition joins up. */
+/**
+ * The interval between two attempts to contact a seed or a dead member, so that a healed partition merges.
+ */
 const REJOIN_INTERVAL: Milliseconds = 3_000;
-/** Members that a leaving daemon tells itself. */
+/** The number of members that a leaving daemon notifies directly. */
 const TOLD_OF_LEAVING = 5;
-/** A dead member is forgotten after this long. */
+/** The time after which the record of a dead or departed member is deleted. */
 const FORGET_AFTER: Milliseconds = 600_000;
 
 interface OutstandingPing {
@@ -33,14 +35,17 @@
   readonly requesterSequence: number;
 }
 
-/** All that a daemon knows of the other daemons. */
+/** The membership list of a daemon and the state of the membership protocol. */
 export interface MembershipState {
   self: Member;
   readonly members: Map<DaemonId, Member>;
   readonly seeds: readonly string[];
-  /** When each suspected member is declared dead, and each dead one is forgotten. */
+  /**
+   * The time at which each suspected member is declared dead and the record of each dead or departed member
+   * is deleted.
+   */
   readonly deadlines: Map<DaemonId, Milliseconds>;
-  /** News still to be passed on, with how many more times. */
+  /** The members whose records are still to be gossiped, with the number of remaining transmissions. */
   readonly news: Map<DaemonId, number>;
   pingOrder: DaemonId[];
   outstanding: OutstandingPing | null;
@@ -48,15 +53,15 @@
   sequence: number;
   nextPingAt: Milliseconds;
   nextRejoinAt: Milliseconds;
-  /** Alive members by name, made anew after a change. */
+  /** The alive and suspected members sorted by id, or null after a membership change. */
   aliveCache: Member[] | null;
-  /** Sum of a hash of each life that is believed to run, modulo 2^32. */
+  /** The sum of the hashes of each alive or suspected member's (id, incarnation), modulo 2^32. */
   digest: number;
   nextSyncAt: Milliseconds;
   lastChangeAt: Milliseconds;
 }
 
-/** The membership of a daemon that has just started. */
+/** Creates the membership of a daemon that has just started. */
 export function createMembership(self: Member, seeds: readonly string[]): MembershipState {
   return {
     self,
@@ -77,7 +82,10 @@
   };
 }
 
-/** Members believed to run, the daemon itself included, by name. A suspected one counts until it is dead. */
+/**
+ * Returns the members considered alive, this daemon included, sorted by id. A suspected member counts as
+ * alive until it is declared dead.
+ */
 export function aliveMembers(state: MembershipState): Member[] {
   state.aliveCache ??= [...state.members.values()]
     .filter((member) => member.status === 'alive' || member.status === 'suspect')
@@ -85,21 +93,21 @@
   return state.aliveCache;
 }
 
-/** A short statement of which lives of which members are believed to run. */
+/** Returns a digest of the members considered alive and their incarnations. */
 export function memberDigest(state: MembershipState): number {
   return state.digest;
 }
 
 function digestShare(member: Member | undefined): number {
-  const runs = member?.status === 'alive' || member?.status === 'suspect';
-  return runs ? hash32(`${member.id}#${member.incarnation}`) : 0;
+  const isConsideredAlive = member?.status === 'alive' || member?.status === 'suspect';
+  return isConsideredAlive ? hash32(`${member.id}#${member.incarnation}`) : 0;
 }
 
-/** A member that is believed to run, in that very life if an incarnation is given. */
+/** Returns whether a member is considered alive, in the given incarnation if there is one. */
 export function isAlive(state: MembershipState, id: DaemonId, incarnation?: number): boolean {
   const member = state.members.get(id);
-  const runs = member?.status === 'alive' || member?.status === 'suspect';
-  return runs && (incarnation === undefined || member.incarnation === incarnation);
+  const isConsideredAlive = member?.status === 'alive' || member?.status === 'suspect';
+  return isConsideredAlive && (incarnation === undefined || member.incarnation === incarnation);
 }
 
 const STATUS_RANK: Record<MemberStatus, number> = { alive: 0, suspect: 1, dead: 2, left: 3 };
@@ -138,15 +146,18 @@
 
 function refute(context: ReducerContext, claim: Member): void {
   const { membership } = context.state;
-  const leaving = membership.self.status === 'left';
-  if (claim.incarnation !== membership.self.incarnation || claim.status === 'alive' || leaving) {
+  const hasLeft = membership.self.status === 'left';
+  if (claim.incarnation !== membership.self.incarnation || claim.status === 'alive' || hasLeft) {
     return;
   }
   membership.self = { ...membership.self, revision: Math.max(claim.revision, membership.self.revision) + 1 };
   record(context, membership.self);
 }
 
-/** Takes in one piece of news. */
+/**
+ * Merges the record of one member if it is newer than the known one. Refutes a claim that this daemon itself
+ * is not alive.
+ */
 export function learnMember(context: ReducerContext, member: Member): void {
   const { membership } = context.state;
   if (member.id === membership.self.id) {
@@ -163,7 +174,10 @@
   }
 }
 
-/** Takes the news that has waited longest; what is to be passed on again goes to the end. */
+/**
+ * Returns the updates that have waited longest, up to the limit for a message. An update with transmissions
+ * left moves to the end of the queue.
+ */
 function takeNews(state: MembershipState): Member[] {
   const updates: Member[] = [];
   for (const [id, remaining] of state.news) {
@@ -210,7 +224,8 @@
   const { membership } = context.state;
   membership.sequence += 1;
   const sequence = membership.sequence;
-  // The receiver may not know us yet: without our address it could not answer, and we would take it for dead.
+  // The receiver may not know this daemon yet. Without this daemon's address the
+  // receiver could not reply, and this daemon would declare it dead.
   const updates = [membership.self, ...takeNews(membership)];
   context.send(target.id, { kind: 'ping', sequence, digest: context.digest(), updates });
   return sequence;
@@ -241,7 +256,7 @@
   }
 }
 
-function suspect(context: ReducerContext, id: DaemonId): void {
+function markSuspect(context: ReducerContext, id: DaemonId): void {
   const member = context.state.membership.members.get(id);
   if (member?.status === 'alive') {
     record(context, { ...member, status: 'suspect' });
@@ -258,7 +273,7 @@
     if (member.status === 'suspect') {
       counters.members_declared_dead += 1;
       record(context, { ...member, status: 'dead' });
-      context.log('warn', `member ${id} is dead: it answered no ping`);
+      context.log('warn', `member ${id} is dead: it acknowledged no ping within the suspicion timeout`);
     } else {
       membership.members.delete(id);
       membership.deadlines.delete(id);
@@ -267,7 +282,7 @@
   }
 }
 
-/** Tells some members that this daemon leaves; they pass it on. */
+/** Notifies some members that this daemon leaves; gossip propagates the update to the others. */
 export function leave(context: ReducerContext): void {
   const { membership, random } = context.state;
   const others = aliveMembers(membership).filter((member) => member.id !== membership.self.id);
@@ -281,7 +296,9 @@
   }
 }
 
-/** Does what is due. */
+/**
+ * Runs the timers of the membership protocol: ping timeouts, deadlines, rejoin attempts and the next ping.
+ */
 export function tickMembership(context: ReducerContext): void {
   const { membership, timing } = context.state;
   const { outstanding } = membership;
@@ -291,14 +308,14 @@
       askOthersToPing(context, outstanding);
     }
     if (waited >= timing.pingInterval) {
-      suspect(context, outstanding.target);
+      markSuspect(context, outstanding.target);
       membership.outstanding = null;
     }
   }
   checkDeadlines(context);
   if (context.now >= membership.nextRejoinAt) {
-    const alone = aliveMembers(membership).length <= 1;
-    membership.nextRejoinAt = context.now + (alone ? timing.pingTimeout : REJOIN_INTERVAL);
+    const isAlone = aliveMembers(membership).length <= 1;
+    membership.nextRejoinAt = context.now + (isAlone ? timing.pingTimeout : REJOIN_INTERVAL);
     rejoin(context);
   }
   if (context.now >= membership.nextPingAt && membership.outstanding === null) {
@@ -307,14 +324,14 @@
   }
 }
 
-/** Takes in several pieces of news. */
+/** Merges the records of several members. */
 export function learnAll(context: ReducerContext, members: readonly Member[]): void {
   for (const member of members) {
     learnMember(context, member);
   }
 }
 
-/** A ping: answer it with news of our own. */
+/** Handles a ping: replies with an acknowledgement that carries pending updates. */
 export function receivePing(context: ReducerContext, sender: DaemonId, message: Ping): void {
   learnAll(context, message.updates);
   const updates = takeNews(context.state.membership);
@@ -322,7 +339,7 @@
   context.compareDigest(sender, message.digest);
 }
 
-/** An answer to a ping of our own, or to one sent for another member. */
+/** Handles the acknowledgement of this daemon's own ping or of a ping sent on behalf of another member. */
 export function receivePingAck(context: ReducerContext, sender: DaemonId, message: PingAck): void {
   const { membership } = context.state;
   learnAll(context, message.updates);
@@ -343,7 +360,7 @@
   context.compareDigest(sender, message.digest);
 }
 
-/** Another member asks us to ping a third. */
+/** Handles a request by another member to ping a third member (indirect ping). */
 export function receivePingRequest(context: ReducerContext, sender: DaemonId, message: PingRequest): void {
   const { membership } = context.state;
   const target = membership.members.get(message.target);
@@ -353,8 +370,8 @@
   const sequence = sendPing(context, target);
   membership.relayed.set(sequence, { requester: sender, requesterSequence: message.sequence });
   const oldest = membership.relayed.keys().next().value;
-  const mostRelayed = 64;
-  if (membership.relayed.size > mostRelayed && oldest !== undefined) {
+  const maxRelayedPings = 64;
+  if (membership.relayed.size > maxRelayedPings && oldest !== undefined) {
     membership.relayed.delete(oldest);
   }
 }
