--- a/src/runtime/daemon.ts
+++ b/src/runtime/daemon.ts
@@ -1,5 +1,5 @@
 /**
- * One daemon process: the reducer between its sockets. Performs effects, turns what happens into events.
+ * One daemon process: connects the reducer to sockets. Turns input into events and performs the effects.
  */
 import { createAdaptorServer } from '@hono/node-server';
 import { RESPONSE_ALREADY_SENT } from '@hono/node-server/utils/response';
@@ -24,7 +24,7 @@
 import { StoreClient } from './store-client.js';
 
 const STOP_POLL_MILLISECONDS = 20;
-/** What is said on leaving has time to go out. */
+/** The shortest duration of a planned stop, so that the messages that announce the departure are sent. */
 const LEAST_STOP_MILLISECONDS = 200;
 
 interface HttpBindings {
@@ -49,9 +49,9 @@
   readonly #store: StoreClient;
   readonly #servers = new ServerClient();
   readonly #bridge: RequestBridge;
-  readonly #commands = new Map<number, (answer: CommandAnswer) => void>();
-  readonly #front: Server;
-  readonly #admin: Server;
+  readonly #pendingCommands = new Map<number, (answer: CommandAnswer) => void>();
+  readonly #callerServer: Server;
+  readonly #adminServer: Server;
   #nextCommandId = 1;
   #timer: NodeJS.Timeout | undefined;
 
@@ -72,54 +72,57 @@
     this.state = createDaemonState(identity, ALL_RULES, timing);
     this.#peers = new PeerTransport(this.state.counters, {
       onEnvelope: (envelope) => this.dispatch({ kind: 'peerMessage', envelope }),
-      onMalformed: (detail) => this.#log.warn(`a peer's connection is closed: ${detail}`),
+      onMalformed: (detail) => this.#log.warn(`closed a peer's connection: ${detail}`),
     });
     this.#store = new StoreClient(settings.store);
     const dispatch = (event: DaemonEvent): void => this.dispatch(event);
     this.#bridge = new RequestBridge(this.#servers, dispatch, () => PROCESS_CLOCK.now());
-    this.#front = this.#createFront();
-    this.#admin = createAdaptorServer({ fetch: this.#createAdmin().fetch }) as Server;
+    this.#callerServer = this.#createCallerServer();
+    this.#adminServer = createAdaptorServer({ fetch: this.#createAdminApp().fetch }) as Server;
   }
 
-  /** Opens every port and starts. Rejects when a port is taken. */
+  /** Opens every port and starts the timer. Rejects when a port is in use. */
   async start(): Promise<void> {
     const { internal, http, admin } = this.#settings.listen;
     await this.#peers.listen(internal);
-    await listen(this.#admin, admin);
-    await listen(this.#front, http);
+    await listen(this.#adminServer, admin);
+    await listen(this.#callerServer, http);
     this.#timer = setInterval(() => this.dispatch({ kind: 'tick' }), this.state.timing.tick);
     this.dispatch({ kind: 'tick' });
-    this.#log.info(`serves callers at ${http}, operators at ${admin}, daemons at ${internal}`);
+    this.#log.info(`listening for callers on ${http}, operators on ${admin}, daemons on ${internal}`);
   }
 
-  /** Takes one event through the reducer and performs the effects. */
+  /** Passes one event to the reducer and performs the effects. */
   dispatch(event: DaemonEvent): void {
     for (const effect of reduce(this.state, { now: PROCESS_CLOCK.now(), event })) {
       this.#perform(effect);
     }
   }
 
-  /** Stops accepting, finishes what is in flight up to the configured time, then closes. */
+  /**
+   * Stops accepting connections, waits for the requests in flight up to the configured drain time, then
+   * closes all ports and connections.
+   */
   async stop(): Promise<void> {
     this.dispatch({ kind: 'stopping' });
     this.#bridge.closing = true;
-    this.#front.close();
-    const giveUpAt = PROCESS_CLOCK.now() + this.#settings.limits.drainMilliseconds;
+    this.#callerServer.close();
+    const drainDeadline = PROCESS_CLOCK.now() + this.#settings.limits.drainMilliseconds;
     await new Promise((resolve) => setTimeout(resolve, LEAST_STOP_MILLISECONDS));
-    while (this.#bridge.inFlight > 0 && PROCESS_CLOCK.now() < giveUpAt) {
+    while (this.#bridge.inFlight > 0 && PROCESS_CLOCK.now() < drainDeadline) {
       await new Promise((resolve) => setTimeout(resolve, STOP_POLL_MILLISECONDS));
     }
     clearInterval(this.#timer);
-    this.#front.closeAllConnections();
-    this.#admin.closeAllConnections();
-    this.#admin.close();
+    this.#callerServer.closeAllConnections();
+    this.#adminServer.closeAllConnections();
+    this.#adminServer.close();
     this.#peers.close();
     this.#store.close();
     this.#servers.close();
     this.#log.info('stopped');
   }
 
-  #createFront(): Server {
+  #createCallerServer(): Server {
     const { headerBytes, bodyBytes } = this.#settings.limits;
     const app = new Hono<{ Bindings: HttpBindings }>();
     app.all('*', async (context) => {
@@ -131,19 +134,19 @@
     return createAdaptorServer({ fetch: app.fetch, serverOptions, autoCleanupIncoming: false }) as Server;
   }
 
-  #createAdmin(): Hono {
+  #createAdminApp(): Hono {
     return createAdminApp({
       state: this.state,
       metrics: createMetrics(this.state),
-      run: (command) => this.#run(command),
+      run: (command) => this.#runCommand(command),
     });
   }
 
-  #run(command: OperatorCommand): Promise<CommandAnswer> {
+  #runCommand(command: OperatorCommand): Promise<CommandAnswer> {
     const commandId = this.#nextCommandId;
     this.#nextCommandId += 1;
     return new Promise((resolve) => {
-      this.#commands.set(commandId, resolve);
+      this.#pendingCommands.set(commandId, resolve);
       this.dispatch({ kind: 'operatorCommand', commandId, command });
     });
   }
@@ -156,7 +159,7 @@
         return this.#peers.send(address, { sender, senderIncarnation, recipientIncarnation, message });
       }
       case 'controlServer':
-        return void this.#control(effect);
+        return void this.#callServerControl(effect);
       case 'readObject':
         return void this.#store.read(effect).then((event) => this.dispatch(event));
       case 'writeObject':
@@ -168,8 +171,8 @@
       case 'cancel':
         return this.#bridge.cancel(effect);
       case 'commandResult': {
-        this.#commands.get(effect.commandId)?.({ accepted: effect.accepted, detail: effect.detail });
-        this.#commands.delete(effect.commandId);
+        this.#pendingCommands.get(effect.commandId)?.({ accepted: effect.accepted, detail: effect.detail });
+        this.#pendingCommands.delete(effect.commandId);
         return;
       }
       case 'log':
@@ -177,7 +180,7 @@
     }
   }
 
-  async #control(effect: Extract<Effect, { kind: 'controlServer' }>): Promise<void> {
+  async #callServerControl(effect: Extract<Effect, { kind: 'controlServer' }>): Promise<void> {
     const { server, address, request } = effect;
     const reply = await this.#servers.control(address, request, this.state.timing.controlTimeout);
     if (reply !== null) {
--- a/src/runtime/metrics.ts
+++ b/src/runtime/metrics.ts
@@ -1,12 +1,12 @@
 /**
- * Counters and gauges in the Prometheus text form, by the `prom-client` library.
+ * Counters and gauges in the Prometheus text format, by the `prom-client` library.
  */
 import { collectDefaultMetrics, Counter, Gauge, Registry } from 'prom-client';
 import { COUNTER_NAMES } from '../core/counters.js';
 import type { DaemonState } from '../core/daemon-state.js';
 import { aliveMembers } from '../core/membership/membership.js';
 
-/** A registry that reads a daemon's state whenever it is asked. */
+/** Creates a registry that reads a daemon's state at each collection. */
 export function createMetrics(state: DaemonState): Registry {
   const registry = new Registry();
   collectDefaultMetrics({ register: registry });
--- a/src/runtime/peer-transport.ts
+++ b/src/runtime/peer-transport.ts
@@ -1,6 +1,6 @@
 /**
- * Carries envelopes between daemons: protobuf frames with a length before each, over one TCP connection
- * for each direction of a pair. Delivery is best effort; the reducer expects loss.
+ * Transports envelopes between daemons: length-prefixed protobuf frames over one TCP connection for each
+ * direction of a pair. Delivery is best effort; the reducer tolerates lost messages.
  */
 import { createConnection, createServer, type Server, type Socket } from 'node:net';
 import type { Counters } from '../core/counters.js';
@@ -10,15 +10,15 @@
 
 const LENGTH_BYTES = 4;
 const LARGEST_FRAME_BYTES = 16 * 1024 * 1024;
-/** A peer that takes nothing off its connection gets no more than this queued. */
+/** The size of a connection's send queue above which messages are dropped, because the peer does not read. */
 const LARGEST_BACKLOG_BYTES = 4 * 1024 * 1024;
 const RECONNECT_PAUSE_MILLISECONDS = 200;
 
-/** What the transport tells its owner. */
+/** The callbacks by which the transport reports messages and errors. */
 export interface PeerTransportListener {
-  /** A message came. */
+  /** Called for each message received. */
   onEnvelope(envelope: Envelope): void;
-  /** A peer sent what cannot be read; its connection is closed. */
+  /** Called after the transport closed the connection of a peer that sent a malformed frame. */
   onMalformed(detail: string): void;
 }
 
@@ -27,11 +27,11 @@
   retryAt: number;
 }
 
-/** Splits a byte stream into frames. */
+/** Splits a byte stream into length-prefixed frames. */
 export class FrameReader {
   #buffered: Buffer = Buffer.alloc(0);
 
-  /** The frames that are complete with these bytes, or null when a frame is longer than allowed. */
+  /** Adds bytes and returns the frames that are now complete, or null when a frame exceeds the size limit. */
   push(bytes: Buffer): Buffer[] | null {
     this.#buffered = this.#buffered.length === 0 ? bytes : Buffer.concat([this.#buffered, bytes]);
     const frames: Buffer[] = [];
@@ -50,7 +50,7 @@
   }
 }
 
-/** The internal port of one daemon and its connections to the others. */
+/** The port at which one daemon accepts messages, and its connections to the other daemons. */
 export class PeerTransport {
   readonly #counters: Counters;
   readonly #listener: PeerTransportListener;
@@ -64,7 +64,7 @@
     this.#server = createServer((socket) => this.#accept(socket));
   }
 
-  /** Listens on an address. Rejects when it is taken. */
+  /** Listens on an address. Rejects when the address is in use. */
   listen(address: string): Promise<void> {
     const { host, port } = splitAddress(address);
     return new Promise((resolve, reject) => {
@@ -73,9 +73,9 @@
     });
   }
 
-  /** Sends a message, or drops it when the peer cannot be reached. */
+  /** Sends a message. Drops it when the peer is unreachable or its send queue is full. */
   send(address: string, envelope: Envelope): void {
-    const socket = this.#socketTo(address);
+    const socket = this.#getOrOpenSocket(address);
     if (socket === null || socket.writableLength > LARGEST_BACKLOG_BYTES) {
       this.#counters.peer_messages_dropped += 1;
       return;
@@ -91,7 +91,7 @@
     this.#counters.peer_bytes_sent += LENGTH_BYTES + bytes.length;
   }
 
-  /** Closes every connection and the port. */
+  /** Closes the listening port and every connection. */
   close(): void {
     this.#server.close();
     for (const socket of this.#incoming) {
@@ -102,7 +102,7 @@
     }
   }
 
-  #socketTo(address: string): Socket | null {
+  #getOrOpenSocket(address: string): Socket | null {
     const known = this.#outgoing.get(address);
     if (known?.socket) {
       return known.socket;
@@ -135,7 +135,7 @@
   #read(socket: Socket, reader: FrameReader, peer: string, bytes: Buffer): void {
     const frames = reader.push(bytes);
     if (frames === null) {
-      this.#reject(socket, `${peer}: a frame is longer than ${LARGEST_FRAME_BYTES} bytes`);
+      this.#reject(socket, `${peer}: frame exceeds the limit of ${LARGEST_FRAME_BYTES} bytes`);
       return;
     }
     for (const frame of frames) {
--- a/src/runtime/readiness.ts
+++ b/src/runtime/readiness.ts
@@ -1,10 +1,11 @@
 /**
- * When a daemon may take traffic: once the configuration and every shard's table are in force.
+ * Readiness: a daemon may receive traffic once it has the configuration and the ownership table of every
+ * shard.
  */
 import { shardsOf } from '../core/configuration/shard-layout.js';
 import type { DaemonState } from '../core/daemon-state.js';
 
-/** What is still missing, one line each; none when the daemon is ready. */
+/** Returns the reasons for which the daemon is not ready, one line each; none when it is ready. */
 export function missingForReadiness(state: DaemonState): string[] {
   if (state.stopping) {
     return ['a planned stop is under way'];
--- a/src/runtime/request-bridge.ts
+++ b/src/runtime/request-bridge.ts
@@ -1,6 +1,6 @@
 /**
- * Between callers' HTTP requests and the reducer: reads what it needs, performs `forward`, `answer` and
- * `cancel`, and streams answers with backpressure. A truncated answer breaks the caller's connection.
+ * Connects callers' HTTP requests to the reducer: reports requests as events, performs `forward`, `answer`
+ * and `cancel`, and streams responses with backpressure. A truncated response closes the caller's connection.
  */
 import type { IncomingMessage, ServerResponse } from 'node:http';
 import { pipeline } from 'node:stream/promises';
@@ -20,7 +20,7 @@
 } from '../wire/headers.js';
 import type { ServerClient } from './server-client.js';
 
-/** A body up to this size is held, so that another attempt can send it again. */
+/** A request body up to this size is buffered, so that a retry can send it again. */
 const LARGEST_HELD_BODY_BYTES = 64 * 1024;
 
 interface Exchange {
@@ -28,20 +28,20 @@
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
   readonly body: Buffer | null;
-  /** Ends the attempt under way. */
+  /** Cancels the attempt in flight. */
   abort: AbortController;
 }
 
-/** Feeds events to the reducer. */
+/** Passes an event to the reducer. */
 export type Dispatch = (event: DaemonEvent) => void;
 
-/** The requests of callers that are under way in this process. */
+/** The callers' requests in flight in this process. */
 export class RequestBridge {
   readonly #exchanges = new Map<number, Exchange>();
   readonly #dispatch: Dispatch;
   readonly #client: ServerClient;
   readonly #now: () => number;
-  /** The daemon stops: each connection closes with its next answer. */
+  /** Whether the daemon is stopping: each caller's connection then closes after its next response. */
   closing = false;
   #nextId = 1;
 
@@ -51,27 +51,28 @@
     this.#now = now;
   }
 
-  /** Requests that have not got their final answer. */
+  /** The number of requests whose final response is not yet complete. */
   get inFlight(): number {
     return this.#exchanges.size;
   }
 
-  /** Takes a caller's request in. `largestBody` in bytes. */
-  async receive(request: IncomingMessage, response: ServerResponse, largestBody: number): Promise<void> {
-    // A caller may leave while nobody reads its body: an error without a listener would end the process.
+  /** Receives a caller's request. Rejects a body with a declared length above `maxBodyBytes`. */
+  async receive(request: IncomingMessage, response: ServerResponse, maxBodyBytes: number): Promise<void> {
+    // A caller may disconnect while nothing reads its body. An error event without a listener would end the
+    // process.
     request.on('error', () => undefined);
     response.on('error', () => undefined);
     const length = Number(request.headers['content-length'] ?? 0);
-    if (length > largestBody) {
-      const detail = `found ${length} bytes; allowed: at most ${largestBody}`;
+    if (length > maxBodyBytes) {
+      const detail = `found ${length} bytes; allowed: at most ${maxBodyBytes}`;
       request.resume();
       writeProblem(response, 413, 'not-run', 'Body too large', detail, null);
       return;
     }
     const hasBody = length > 0 || request.headers['transfer-encoding'] !== undefined;
-    const held = hasBody && length > 0 && length <= LARGEST_HELD_BODY_BYTES;
-    const body = held ? await readWhole(request) : null;
-    if (held && body === null) {
+    const isBuffered = hasBody && length > 0 && length <= LARGEST_HELD_BODY_BYTES;
+    const body = isBuffered ? await readWhole(request) : null;
+    if (isBuffered && body === null) {
       return;
     }
     const id = this.#nextId;
@@ -88,11 +89,11 @@
       path,
       query,
       headers: request.headers,
-      replayable: !hasBody || held,
+      replayable: !hasBody || isBuffered,
     });
   }
 
-  /** Gives a caller an answer of the router's own. */
+  /** Sends a caller a response that the daemon generates itself. */
   answer(effect: AnswerEffect): void {
     const exchange = this.#exchanges.get(effect.requestId);
     if (exchange === undefined) {
@@ -116,12 +117,12 @@
     );
   }
 
-  /** Ends an attempt. */
+  /** Cancels the attempt of a request that is in flight. */
   cancel(effect: CancelEffect): void {
     this.#exchanges.get(effect.requestId)?.abort.abort();
   }
 
-  /** Sends a request to a server and passes its answer on. */
+  /** Sends a request to an upstream server and streams the response to the caller. */
   async forward(effect: ForwardEffect): Promise<void> {
     const exchange = this.#exchanges.get(effect.requestId);
     if (exchange === undefined) {
@@ -170,8 +171,8 @@
   }
 
   #onClose(exchange: Exchange): void {
-    const finished = exchange.response.writableFinished;
-    if (!finished && this.#exchanges.delete(exchange.id)) {
+    const isComplete = exchange.response.writableFinished;
+    if (!isComplete && this.#exchanges.delete(exchange.id)) {
       exchange.abort.abort();
       this.#dispatch({ kind: 'callerLeft', requestId: exchange.id });
     }
@@ -183,7 +184,10 @@
   return refusal === undefined ? null : { kind: 'refused', reason: String(refusal) };
 }
 
-/** A daemon of another side says itself what became of the request. */
+/**
+ * Returns the failure that the outcome header of another side's daemon reports, or null when the request was
+ * answered.
+ */
 function rejectionByOtherSide(answer: Dispatcher.ResponseData): AttemptResult | null {
   switch (answer.headers[OUTCOME_HEADER]) {
     case 'answered':
@@ -196,8 +200,8 @@
 }
 
 function splitTarget(target: string): [string, string] {
-  const mark = target.indexOf('?');
-  return mark < 0 ? [target, ''] : [target.slice(0, mark), target.slice(mark + 1)];
+  const queryStart = target.indexOf('?');
+  return queryStart < 0 ? [target, ''] : [target.slice(0, queryStart), target.slice(queryStart + 1)];
 }
 
 function isBodyless(request: IncomingMessage): boolean {
@@ -224,8 +228,8 @@
 ): Record<string, string | string[]> {
   const headers: Record<string, string | string[]> = {};
   for (const [name, value] of Object.entries(request.headers)) {
-    const dropped = HOP_BY_HOP_HEADERS.has(name) || name.startsWith(HEADER_PREFIX) || name === 'expect';
-    if (!dropped && value !== undefined) {
+    const isOmitted = HOP_BY_HOP_HEADERS.has(name) || name.startsWith(HEADER_PREFIX) || name === 'expect';
+    if (!isOmitted && value !== undefined) {
       headers[name] = value;
     }
   }
@@ -250,7 +254,7 @@
   return headers;
 }
 
-/** Failures before a connection stood: not one byte of the request has left. */
+/** Errors that occur before a connection is established, so that no byte of the request has been sent. */
 const NOT_SENT_CODES: ReadonlySet<string> = new Set([
   'ECONNREFUSED',
   'EHOSTUNREACH',
@@ -263,7 +267,7 @@
   return cause instanceof Error ? cause.message : String(cause);
 }
 
-/** What a failed attempt says about whether the request may have run. */
+/** Classifies a failed attempt by whether the request may have reached the server. */
 export function classifyFailure(cause: unknown): AttemptResult {
   const code = (cause as { code?: unknown }).code;
   if (typeof code === 'string' && NOT_SENT_CODES.has(code)) {
@@ -272,7 +276,7 @@
   return { kind: 'lost', reason: messageOf(cause), answerStarted: false };
 }
 
-/** Writes a problem body (RFC 9457) with the outcome. */
+/** Sends a response with a problem body (RFC 9457) that contains the outcome. */
 export function writeProblem(
   response: ServerResponse,
   status: number,
--- a/src/runtime/server-client.ts
+++ b/src/runtime/server-client.ts
@@ -1,5 +1,5 @@
 /**
- * Connections to back-end servers: one for control calls, a bounded pool for requests.
+ * Connections to upstream servers: for each server, one for control calls and a bounded pool for requests.
  */
 import { Pool, type Dispatcher } from 'undici';
 import type { ControlReply, ControlRequest } from '../core/server-control.js';
@@ -9,39 +9,42 @@
 const CONNECT_TIMEOUT_MILLISECONDS = 1_000;
 const KEEP_ALIVE_MILLISECONDS = 30_000;
 
-/** Calls servers by address. */
+/** An HTTP client for upstream servers, which it identifies by address. */
 export class ServerClient {
-  readonly #control = new Map<string, Pool>();
-  readonly #requests = new Map<string, Pool>();
+  readonly #controlPools = new Map<string, Pool>();
+  readonly #requestPools = new Map<string, Pool>();
 
-  /** Makes a control call. Resolves with null when no readable answer comes in time. */
+  /**
+   * Makes a control call with a timeout in milliseconds. Resolves with null when no valid reply arrives in
+   * time.
+   */
   async control(address: string, request: ControlRequest, timeout: number): Promise<ControlReply | null> {
     try {
-      const answer = await this.#poolFor(this.#control, address, 1).request({
+      const response = await this.#poolFor(this.#controlPools, address, 1).request({
         method: 'POST',
         path: CONTROL_PATH,
         headers: { 'content-type': 'application/json' },
         body: encodeControlRequest(request),
         signal: AbortSignal.timeout(timeout),
       });
-      return decodeControlReply(await answer.body.text());
+      return decodeControlReply(await response.body.text());
     } catch {
       return null;
     }
   }
 
-  /** Sends a request over the server's pool. */
+  /** Sends a request over the server's connection pool. */
   request(
     address: string,
     connections: number,
     options: Omit<Dispatcher.RequestOptions, 'origin'>,
   ): Promise<Dispatcher.ResponseData> {
-    return this.#poolFor(this.#requests, address, connections).request(options);
+    return this.#poolFor(this.#requestPools, address, connections).request(options);
   }
 
   /** Closes every connection. */
   close(): void {
-    for (const pool of [...this.#control.values(), ...this.#requests.values()]) {
+    for (const pool of [...this.#controlPools.values(), ...this.#requestPools.values()]) {
       void pool.destroy();
     }
   }
@@ -54,7 +57,7 @@
         pipelining: 1,
         connectTimeout: CONNECT_TIMEOUT_MILLISECONDS,
         keepAliveTimeout: KEEP_ALIVE_MILLISECONDS,
-        // The reducer sets the deadline of each request and cancels it.
+        // No timeouts here: the reducer sets the deadline of each request and cancels it.
         headersTimeout: 0,
         bodyTimeout: 0,
       });
--- a/src/runtime/store-client.ts
+++ b/src/runtime/store-client.ts
@@ -1,5 +1,5 @@
 /**
- * The platform's object API over HTTP.
+ * The HTTP client of the store's object API.
  */
 import { err, ok, type Result } from 'neverthrow';
 import * as z from 'zod';
@@ -9,16 +9,19 @@
 import { RenewablePool } from '../http-client/index.js';
 
 const CALL_TIMEOUT_MILLISECONDS = 3_000;
-/** A watch that the store got while it was away is never answered: after a long one, news came 11 s late. */
+/**
+ * The time that a watch asks the store to wait. The store never responds to a watch that it received during
+ * an outage: a long wait then delayed updates by 11 s.
+ */
 const WATCH_MILLISECONDS = 1_000;
-/** A watch is answered this much later than asked at the latest. */
+/** Added to the wait of a watch to form its client-side timeout. */
 const WATCH_SLACK_MILLISECONDS = 600;
 const CONNECTIONS = 4;
 
 const objectSchema = z.object({ version: z.number(), value: z.string(), writeId: z.string() });
 const writtenSchema = z.object({ version: z.number() });
 
-/** Reads and writes objects; never throws. */
+/** Reads and writes objects. Calls never throw. */
 export class StoreClient {
   readonly #pool: RenewablePool;
   readonly #origin: string;
@@ -33,13 +36,13 @@
     });
   }
 
-  /** Reads an object, or waits for a newer version of it. */
+  /** Reads an object, or watches it for a newer version. */
   async read(effect: ReadObjectEffect): Promise<ObjectReadEvent> {
     const { name, afterVersion } = effect;
     const query = afterVersion === null ? '' : `?after=${afterVersion}&wait=${WATCH_MILLISECONDS}`;
     const isWatch = afterVersion !== null;
-    const patience = isWatch ? WATCH_MILLISECONDS + WATCH_SLACK_MILLISECONDS : CALL_TIMEOUT_MILLISECONDS;
-    const answer = await this.#call('GET', `${objectPath(name)}${query}`, null, patience);
+    const timeout = isWatch ? WATCH_MILLISECONDS + WATCH_SLACK_MILLISECONDS : CALL_TIMEOUT_MILLISECONDS;
+    const answer = await this.#call('GET', `${objectPath(name)}${query}`, null, timeout);
     const parsed =
       answer.isOk() && answer.value.status === 200 ? objectSchema.safeParse(answer.value.body) : null;
     return { kind: 'objectRead', name, result: parsed?.success ? parsed.data : null };
@@ -62,11 +65,12 @@
     if (status === 409) {
       return { ...event, result: 'conflict' };
     }
-    // 503 and 429 come before anything is written; any other answer leaves it open.
+    // The store sends 503 and 429 before it writes anything; after any other response the write may have
+    // taken effect.
     return { ...event, result: status === 503 || status === 429 ? 'refused' : 'unknown' };
   }
 
-  /** Ends every call under way. */
+  /** Aborts every call in flight. */
   close(): void {
     this.#abort.abort();
     this.#pool.destroy();
@@ -76,12 +80,12 @@
     method: 'GET' | 'PUT',
     path: string,
     body: string | null,
-    patience: number,
+    timeout: number,
   ): Promise<Result<{ status: number; body: unknown }, StoreError>> {
     try {
       const headers = { 'content-type': 'application/json' };
       const request = { method, path, body, headers };
-      const { answer, text } = await this.#pool.request(request, patience, this.#abort.signal);
+      const { answer, text } = await this.#pool.request(request, timeout, this.#abort.signal);
       return ok({ status: answer.statusCode, body: JSON.parse(text) });
     } catch (cause) {
       const detail = cause instanceof Error ? cause.message : String(cause);
