--- a/test/core/consensus/test-election.ts
+++ b/test/core/consensus/test-election.ts
@@ -3,8 +3,8 @@
 import { systemNamed } from '../../../src/emulator/systems.js';
 import { createWorld } from '../../../src/simulation/run.js';
 
-describe('a planned stop of a leader', () => {
-  it('hands leadership to a follower at once', () => {
+describe('planned stop of a shard leader', () => {
+  it('transfers leadership to a follower immediately', () => {
     const world = createWorld(systemNamed(), { seed: 5 });
     world.scheduler.runUntil(5_000);
     const leader = world.daemons.find((daemon) => daemon.state.leaderships.size > 0);
@@ -15,7 +15,7 @@
     expect(leaders[0] === leader).toEqual(false);
   });
 
-  it('keeps leadership when nobody else could renew the leases', () => {
+  it('keeps leadership when no other replica can renew the server leases', () => {
     const world = createWorld(systemNamed(), { seed: 6 }, 1);
     world.scheduler.runUntil(5_000);
     const [only] = world.daemons;
--- a/test/core/consensus/test-replicated-log.ts
+++ b/test/core/consensus/test-replicated-log.ts
@@ -8,7 +8,7 @@
 }
 
 describe('replicated log', () => {
-  it('takes a truncated replica set back', () => {
+  it('restores the previous replica set when the entry that changed it is truncated', () => {
     const log = new ReplicatedLog(0, 0, ['a#1', 'b#1']);
     log.append(entry(1));
     log.append(entry(1, ['a#1']));
@@ -17,7 +17,7 @@
     expect([log.replicas, log.lastIndex, log.lastTerm]).toEqual([['a#1', 'b#1'], 1, 1]);
   });
 
-  it('keeps terms and replica sets through compaction', () => {
+  it('keeps the terms and replica sets of compacted entries', () => {
     const log = new ReplicatedLog(0, 0, ['a#1']);
     [entry(1), entry(1, ['a#1', 'b#1']), entry(2), entry(3)].forEach((each) => log.append(each));
     log.compactTo(3);
--- a/test/core/dissemination/test-spread-tree.ts
+++ b/test/core/dissemination/test-spread-tree.ts
@@ -3,8 +3,8 @@
 import { describe, it } from 'node:test';
 import { childrenInTree } from '../../../src/core/dissemination/spread-tree.js';
 
-describe('spread tree', () => {
-  it('reaches every member once, whichever is the root, in few steps', () => {
+describe('propagation tree', () => {
+  it('reaches every member exactly once within 5 steps, whichever member is the root', () => {
     const size = fc.integer({ min: 1, max: 600 });
     fc.assert(
       fc.property(size, fc.nat(), (count, start) => {
@@ -12,9 +12,9 @@
         const root = members[start % count] ?? '';
         const reached = [root];
         let steps = 0;
-        for (let front = [root]; front.length > 0; steps += 1) {
-          front = front.flatMap((member) => childrenInTree(members, root, member));
-          reached.push(...front);
+        for (let frontier = [root]; frontier.length > 0; steps += 1) {
+          frontier = frontier.flatMap((member) => childrenInTree(members, root, member));
+          reached.push(...frontier);
         }
         expect(reached.length).toEqual(count);
         expect(new Set(reached).size).toEqual(count);
--- a/test/runtime/test-daemon.ts
+++ b/test/runtime/test-daemon.ts
@@ -13,8 +13,8 @@
 import { checkSettings } from '../../src/settings/daemon-settings.js';
 
 const SERVICE_MILLISECONDS = 300;
-/** A machine that is busy for seconds must not make a lease run out. */
-const PATIENT = { ...DEFAULT_TIMING, serverLease: 60_000, controlTimeout: 20_000 };
+/** Long timeouts, so that no lease expires on a machine that is overloaded for seconds. */
+const LONG_TIMEOUTS = { ...DEFAULT_TIMING, serverLease: 60_000, controlTimeout: 20_000 };
 
 async function freeAddress(): Promise<string> {
   const probe = createServer().listen(0, '127.0.0.1');
@@ -25,7 +25,7 @@
   return `127.0.0.1:${port}`;
 }
 
-/** A daemon, a store and a server over real sockets, in this process. */
+/** Runs a daemon, a store and an upstream server in this process, connected by real sockets. */
 describe('daemon over real sockets', () => {
   const server = new ServerProcess('only-1', {
     ...DEFAULT_BEHAVIOUR,
@@ -63,7 +63,7 @@
     daemon = new Daemon(
       checkSettings(settings, 'test')._unsafeUnwrap(),
       createConsola({ level: -999 }),
-      PATIENT,
+      LONG_TIMEOUTS,
     );
     await daemon.start();
     while ((await request(`http://${admin}/health/ready`)).statusCode !== 200) {
@@ -76,25 +76,27 @@
     stopStore();
   });
 
-  it('carries a request to the owner and the whole answer back', async () => {
+  it('forwards a request to the owner and returns the complete response', async () => {
     const answer = await request(`http://${at.http}/k/a?x=1`, { method: 'POST', body: 'hello' });
     expect(answer.headers['fennelferry-outcome']).toEqual('answered');
     const body = (await answer.body.json()) as { server: string; bodyBytes: number; url: string };
     expect([body.server, body.bodyBytes, body.url]).toEqual(['only-1', 5, '/k/a?x=1']);
   });
 
-  it('refuses what is too large or leads nowhere, as not run', async () => {
-    const large = await request(`http://${at.http}/k/a`, { method: 'POST', body: 'x'.repeat(1_001) });
-    const nowhere = await request(`http://${at.http}/nowhere`);
-    const heads = await request(`http://${at.http}/k/a`, { headers: { 'x-large': 'x'.repeat(4_000) } });
-    expect([large.statusCode, nowhere.statusCode, heads.statusCode]).toEqual([413, 404, 431]);
-    expect([large.headers, nowhere.headers].map((each) => each['fennelferry-outcome'])).toEqual([
+  it('rejects oversized requests and unknown routes, with the outcome not-run', async () => {
+    const largeBody = await request(`http://${at.http}/k/a`, { method: 'POST', body: 'x'.repeat(1_001) });
+    const unknownRoute = await request(`http://${at.http}/nowhere`);
+    const longHeader = await request(`http://${at.http}/k/a`, {
+      headers: { 'x-large': 'x'.repeat(4_000) },
+    });
+    expect([largeBody.statusCode, unknownRoute.statusCode, longHeader.statusCode]).toEqual([413, 404, 431]);
+    expect([largeBody.headers, unknownRoute.headers].map((each) => each['fennelferry-outcome'])).toEqual([
       'not-run',
       'not-run',
     ]);
   });
 
-  it('closes the connection of a peer that sends nonsense, counts it, and lives on', async () => {
+  it('closes the connection of a peer that sends a malformed frame, counts the frame and keeps running', async () => {
     const [host = '', port = ''] = at.internal.split(':');
     const socket = createConnection({ host, port: Number(port) });
     socket.on('error', () => undefined);
@@ -104,19 +106,18 @@
     expect((await request(`http://${at.admin}/health/live`)).statusCode).toEqual(200);
   });
 
-  it('answers questions, refuses bad ones with the place, and shows its counters', async () => {
-    const good = (await askAdmin(at.admin, "show owner of key 'a' in only", 'me'))._unsafeUnwrap();
-    expect('rows' in good.body && good.body.rows[0]?.['server']).toEqual('only-1');
-    const bad = (await askAdmin(at.admin, 'show nothing', 'me'))._unsafeUnwrap();
-    expect([bad.status, 'detail' in bad.body && bad.body.detail.includes('character 6')]).toEqual([
-      400,
-      true,
-    ]);
+  it('answers operator queries, rejects an invalid query with the error position, and exports its counters', async () => {
+    const valid = (await askAdmin(at.admin, "show owner of key 'a' in only", 'me'))._unsafeUnwrap();
+    expect('rows' in valid.body && valid.body.rows[0]?.['server']).toEqual('only-1');
+    const invalid = (await askAdmin(at.admin, 'show nothing', 'me'))._unsafeUnwrap();
+    expect([invalid.status, 'detail' in invalid.body && invalid.body.detail.includes('character 6')]).toEqual(
+      [400, true],
+    );
     const metrics = await (await request(`http://${at.admin}/metrics`)).body.text();
     expect(metrics.includes('fennelferry_malformed_frames_total 1')).toEqual(true);
   });
 
-  it('cuts off no request in flight when it is stopped as planned', async () => {
+  it('completes the requests in flight during a planned stop', async () => {
     const answers = ['a', 'b', 'c'].map((key) => request(`http://${at.http}/k/${key}`));
     while (daemon.state.requests.active.size < answers.length) {
       await sleep(5);
--- a/test/runtime/test-request-bridge.ts
+++ b/test/runtime/test-request-bridge.ts
@@ -18,12 +18,12 @@
   return started;
 }
 
-/** A bridge behind a front, with what it tells the reducer. */
+/** Creates a bridge behind an HTTP server, with access to the events that it dispatches to the reducer. */
 async function createBridge(): Promise<{
   bridge: RequestBridge;
   front: TestServer;
   next: <Kind extends DaemonEvent['kind']>(kind: Kind) => Promise<Extract<DaemonEvent, { kind: Kind }>>;
-  /** Waits until the request for a path arrives. */
+  /** Waits until a request for the path arrives. */
   nextFrom: (path: string) => Promise<void>;
 }> {
   const events: DaemonEvent[] = [];
@@ -72,14 +72,14 @@
     clients.splice(0).forEach((client) => client.close());
   });
 
-  it('can send a request again after an attempt was cancelled', async () => {
+  it('can retry a request after an attempt was cancelled', async () => {
     const { bridge, front, next } = await createBridge();
-    const frozen = await server(() => undefined);
+    const unresponsive = await server(() => undefined);
     const good = await server((_, response) => response.end('whole'));
     const answer = request(`http://${front.address}/k/a`, { method: 'GET' });
     answer.catch(() => undefined);
     const arrived = await next('requestArrived');
-    void bridge.forward(forwardTo(arrived, 1, frozen.address));
+    void bridge.forward(forwardTo(arrived, 1, unresponsive.address));
     bridge.cancel({ kind: 'cancel', requestId: arrived.requestId, attempt: 1 });
     expect((await next('attemptEnded')).result.kind).toEqual('lost');
     void bridge.forward(forwardTo(arrived, 2, good.address));
@@ -87,7 +87,7 @@
     expect(await (await answer).body.text()).toEqual('whole');
   });
 
-  it('passes the fencing token on and lets no caller forge one', async () => {
+  it('forwards the fencing token and drops one that a caller sends', async () => {
     const { bridge, front, next } = await createBridge();
     let seen: unknown;
     const good = await server((incoming, response) => {
@@ -105,14 +105,14 @@
     expect(seen).toEqual(['7', '1', 'kept']);
   });
 
-  it('breaks the connection of a truncated answer', async () => {
+  it("closes the caller's connection when a response is truncated", async () => {
     const { bridge, front, next } = await createBridge();
-    const cutting = await server((_, response) => {
+    const truncating = await server((_, response) => {
       response.writeHead(200, { 'content-length': '100' });
       response.write('half', () => response.destroy());
     });
     const answer = request(`http://${front.address}/k/a`, { method: 'GET' });
-    void bridge.forward(forwardTo(await next('requestArrived'), 1, cutting.address));
+    void bridge.forward(forwardTo(await next('requestArrived'), 1, truncating.address));
     const ended: AttemptEndedEvent = await next('attemptEnded');
     expect(ended.result).toEqual({ kind: 'lost', reason: expect.a(String), answerStarted: true });
     const text = await (await answer).body.text().catch(() => 'broken');
@@ -121,18 +121,18 @@
 
   for (const [name, listener, expected] of [
     [
-      'a reset before the answer',
+      'a connection reset before the response',
       (request: { socket: { resetAndDestroy(): void } }) => request.socket.resetAndDestroy(),
       'lost',
     ],
     [
-      'a refusal by the server',
+      'a rejection by the server',
       (_: unknown, response: { writeHead(status: number, headers: object): { end(): void } }) =>
         response.writeHead(409, { 'fennelferry-refused': 'not-owner' }).end(),
       'refused',
     ],
   ] as const) {
-    it(`says ${expected} after ${name}`, async () => {
+    it(`reports ${expected} after ${name}`, async () => {
       const { bridge, front, next } = await createBridge();
       const failing = await server(listener as Parameters<typeof startServer>[0]);
       const answer = request(`http://${front.address}/k/a`, { method: 'GET' }).catch(() => undefined);
@@ -153,7 +153,7 @@
     });
   }
 
-  it('says notSent when no connection stood', async () => {
+  it('reports notSent when no connection was established', async () => {
     const { bridge, front, next } = await createBridge();
     const gone = await startServer(() => undefined);
     stopServers(gone);
@@ -164,7 +164,7 @@
     await answer;
   });
 
-  it('tells the reducer when the caller goes away', async () => {
+  it('notifies the reducer when the caller disconnects', async () => {
     const { front, next } = await createBridge();
     const abort = new AbortController();
     const answer = request(`http://${front.address}/k/a`, { method: 'GET', signal: abort.signal }).catch(
@@ -177,16 +177,16 @@
   });
 
   for (const leave of ['reset', 'close'] as const) {
-    it(`outlives a caller that leaves by a ${leave} while its body goes on to a server`, async () => {
+    it(`keeps running when a caller disconnects by a ${leave} while its body is forwarded to a server`, async () => {
       const { bridge, front, next, nextFrom } = await createBridge();
-      const frozen = await server((incoming) => void incoming.resume());
+      const unresponsive = await server((incoming) => void incoming.resume());
       const [host, port] = front.address.split(':');
       const half = 'POST /k/a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\n';
       const forwarded = next('requestArrived').then((arrived) => {
-        void bridge.forward(forwardTo(arrived, 1, frozen.address));
-        return once(frozen.server, 'request');
+        void bridge.forward(forwardTo(arrived, 1, unresponsive.address));
+        return once(unresponsive.server, 'request');
       });
-      await sendAndLeave(Number(port), host as string, half, leave, forwarded);
+      await sendAndDisconnect(Number(port), host as string, half, leave, forwarded);
       await next('callerLeft');
       const later = request(`http://${front.address}/k/later`).catch(() => undefined);
       await nextFrom('/k/later');
@@ -195,7 +195,8 @@
     });
   }
 
-  // Seen once in the demonstration: a caller that left in the middle of its body ended the daemon with `aborted`.
+  // A caller that disconnects in the middle of its body causes an `aborted` error on the request. Without an
+  // error listener, that error ended the daemon's process.
   for (const [name, sent] of [
     ['half of a short body', 'POST /k/a HTTP/1.1\r\nHost: h\r\nContent-Length: 4000\r\n\r\nhalf'],
     [
@@ -204,17 +205,17 @@
     ],
     ['half of a chunked body', 'POST /k/a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab'],
     ['a bad chunk', 'POST /k/a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nab'],
-    ['a header that is too long', `GET /k/a HTTP/1.1\r\nHost: h\r\nX-Long: ${'y'.repeat(40_000)}`],
-    ['half of a head', 'POST /k/a HT'],
+    ['a header above the size limit', `GET /k/a HTTP/1.1\r\nHost: h\r\nX-Long: ${'y'.repeat(40_000)}`],
+    ['half of a request head', 'POST /k/a HT'],
   ] as const) {
     for (const leave of ['reset', 'close'] as const) {
-      it(`outlives a caller that sends ${name}, then leaves by a ${leave}`, async () => {
+      it(`keeps running when a caller sends ${name} and disconnects by a ${leave}`, async () => {
         const { front, nextFrom } = await createBridge();
         const [host, port] = front.address.split(':');
-        for (let caller = 0; caller < CALLERS_THAT_LEAVE; caller += 1) {
-          // A head that is not whole, or too long, never becomes a request.
-          const taken = once(front.server, isHead(sent) ? 'request' : 'connection');
-          await sendAndLeave(Number(port), host as string, sent, leave, taken);
+        for (let caller = 0; caller < DISCONNECTING_CALLERS; caller += 1) {
+          // An incomplete or oversized request head never becomes a request event.
+          const received = once(front.server, hasCompleteHead(sent) ? 'request' : 'connection');
+          await sendAndDisconnect(Number(port), host as string, sent, leave, received);
         }
         const abort = new AbortController();
         const later = request(`http://${front.address}/k/later`, { signal: abort.signal }).catch(
@@ -228,26 +229,26 @@
   }
 });
 
-const CALLERS_THAT_LEAVE = 5;
-const LONGEST_HEAD = 16_384;
+const DISCONNECTING_CALLERS = 5;
+const MAX_HEAD_BYTES = 16_384;
 
-function isHead(bytes: string): boolean {
+function hasCompleteHead(bytes: string): boolean {
   const end = bytes.indexOf('\r\n\r\n');
-  return end >= 0 && end < LONGEST_HEAD;
+  return end >= 0 && end < MAX_HEAD_BYTES;
 }
 
-/** Sends bytes, waits until they are taken, and leaves. */
-async function sendAndLeave(
+/** Sends bytes, waits for the promise that the receiver has got them, and closes the connection. */
+async function sendAndDisconnect(
   port: number,
   host: string,
   bytes: string,
   leave: 'reset' | 'close',
-  taken: Promise<unknown>,
+  received: Promise<unknown>,
 ): Promise<void> {
   const socket = connect(port, host);
   socket.on('error', () => undefined);
   socket.write(bytes);
-  await taken;
+  await received;
   const closed = new Promise<void>((resolve) => socket.once('close', () => resolve()));
   if (leave === 'reset') {
     socket.resetAndDestroy();
--- a/test/runtime/test-store-client.ts
+++ b/test/runtime/test-store-client.ts
@@ -5,14 +5,14 @@
 
 const OBJECT = JSON.stringify({ version: 3, value: '{}', writeId: 'w' });
 const ANSWER = `HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: ${OBJECT.length}\r\n\r\n${OBJECT}`;
-/** As many as a daemon keeps. */
+/** The number of connections to the store that a daemon keeps open. */
 const CONNECTIONS = 4;
 const READ = { kind: 'readObject', name: 'routing', afterVersion: null } as const;
 
 let server: MutingServer;
 let client: StoreClient;
 
-describe('the client of the store', () => {
+describe('store client', () => {
   beforeEach(async () => {
     server = await MutingServer.start((socket) => void socket.write(ANSWER));
     client = new StoreClient(`http://${server.address}`);
@@ -23,8 +23,9 @@
     await server.close();
   });
 
-  // Each open connection that had gone silent cost one more call its time-out of 3 s.
-  it('loses one time-out, and not one for each connection, when connections go silent', async () => {
+  // Without replacement of the whole pool after a timeout, each unresponsive connection costs another
+  // call its timeout of 3 s.
+  it('loses one call to a timeout, not one for each connection, when connections become unresponsive', async () => {
     server.holdUntil(CONNECTIONS);
     const reads = Array.from({ length: CONNECTIONS }, () => client.read(READ));
     expect((await Promise.all(reads)).every(({ result }) => result !== null)).toEqual(true);
@@ -34,8 +35,9 @@
     expect((await client.read(READ)).result).not.toEqual(null);
   });
 
-  // A watch that the store got while it was away is never answered, and was waited for for 11 s.
-  it('asks a watch to wait for a second at most', async () => {
+  // The store never responds to a watch that it received during an outage; a long watch then waited 11 s for
+  // a response.
+  it('asks the store to hold a watch for at most 1 s', async () => {
     await client.read({ ...READ, afterVersion: 3 });
     const wait = /[?&]wait=(\d+)/.exec(server.requests[0] ?? '')?.[1];
     expect(Number(wait) <= 1_000).toEqual(true);
