--- a/src/core/consensus/election.ts
+++ b/src/core/consensus/election.ts
@@ -11,8 +11,8 @@
 /** Restarts the election timer with a new random timeout. */
 export function deferElection(context: ReducerContext, replica: ShardReplica): void {
   const { timing, random } = context.state;
-  const silence = timing.electionMinimum + random.fraction() * timing.electionSpread;
-  replica.electionDeadline = context.now + silence;
+  const electionTimeout = timing.electionMinimum + random.fraction() * timing.electionSpread;
+  replica.electionDeadline = context.now + electionTimeout;
 }
 
 /** Adopts a newer term. A leader of an older term steps down. */
@@ -120,8 +120,8 @@
 }
 
 function hearsALeader(context: ReducerContext, replica: ShardReplica): boolean {
-  const silence = context.now - replica.lastLeaderContact;
-  return replica.role === 'leader' || silence < context.state.timing.electionMinimum;
+  const sinceLeaderContact = context.now - replica.lastLeaderContact;
+  return replica.role === 'leader' || sinceLeaderContact < context.state.timing.electionMinimum;
 }
 
 function grantsPreVote(context: ReducerContext, replica: ShardReplica, message: VoteRequest): boolean {
--- a/src/core/membership/member-exchange.ts
+++ b/src/core/membership/member-exchange.ts
@@ -13,8 +13,8 @@
  */
 const QUIET_BEFORE_SYNC: Milliseconds = 5_000;
 /**
- * A daemon synchronises without waiting for a quiet period for this long after its start, since many daemons may be
- * joining with it.
+ * A daemon synchronises without waiting for a quiet period for this long after its start, since many daemons
+ * may be joining with it.
  */
 const YOUNG_FOR: Milliseconds = 15_000;
 /**
--- a/test/runtime/test-request-bridge.ts
+++ b/test/runtime/test-request-bridge.ts
@@ -22,9 +22,9 @@
 async function createBridge(): Promise<{
   bridge: RequestBridge;
   front: TestServer;
-  next: <Kind extends DaemonEvent['kind']>(kind: Kind) => Promise<Extract<DaemonEvent, { kind: Kind }>>;
+  nextEvent: <Kind extends DaemonEvent['kind']>(kind: Kind) => Promise<Extract<DaemonEvent, { kind: Kind }>>;
   /** Waits until a request for the path arrives. */
-  nextFrom: (path: string) => Promise<void>;
+  waitForRequest: (path: string) => Promise<void>;
 }> {
   const events: DaemonEvent[] = [];
   const waiting = new Set<() => void>();
@@ -36,7 +36,7 @@
   };
   const bridge = new RequestBridge(client, dispatch, () => 0);
   const front = await server((incoming, outgoing) => void bridge.receive(incoming, outgoing, 1_000_000));
-  const next = async <Kind extends DaemonEvent['kind']>(
+  const nextEvent = async <Kind extends DaemonEvent['kind']>(
     kind: Kind,
   ): Promise<Extract<DaemonEvent, { kind: Kind }>> => {
     for (;;) {
@@ -53,10 +53,10 @@
       });
     }
   };
-  const nextFrom = async (path: string): Promise<void> => {
-    while ((await next('requestArrived')).path !== path);
+  const waitForRequest = async (path: string): Promise<void> => {
+    while ((await nextEvent('requestArrived')).path !== path);
   };
-  return { bridge, front, next, nextFrom };
+  return { bridge, front, nextEvent, waitForRequest };
 }
 
 function forwardTo(arrived: RequestArrivedEvent, attempt: number, address: string): ForwardEffect {
@@ -73,22 +73,22 @@
   });
 
   it('can retry a request after an attempt was cancelled', async () => {
-    const { bridge, front, next } = await createBridge();
+    const { bridge, front, nextEvent } = await createBridge();
     const unresponsive = await server(() => undefined);
     const good = await server((_, response) => response.end('whole'));
     const answer = request(`http://${front.address}/k/a`, { method: 'GET' });
     answer.catch(() => undefined);
-    const arrived = await next('requestArrived');
+    const arrived = await nextEvent('requestArrived');
     void bridge.forward(forwardTo(arrived, 1, unresponsive.address));
     bridge.cancel({ kind: 'cancel', requestId: arrived.requestId, attempt: 1 });
-    expect((await next('attemptEnded')).result.kind).toEqual('lost');
+    expect((await nextEvent('attemptEnded')).result.kind).toEqual('lost');
     void bridge.forward(forwardTo(arrived, 2, good.address));
-    expect((await next('attemptEnded')).result.kind).toEqual('answered');
+    expect((await nextEvent('attemptEnded')).result.kind).toEqual('answered');
     expect(await (await answer).body.text()).toEqual('whole');
   });
 
   it('forwards the fencing token and drops one that a caller sends', async () => {
-    const { bridge, front, next } = await createBridge();
+    const { bridge, front, nextEvent } = await createBridge();
     let seen: unknown;
     const good = await server((incoming, response) => {
       seen = [
@@ -100,20 +100,20 @@
     });
     const headers = { 'fennelferry-epoch': '99', 'fennelferry-extra': '1', 'x-own': 'kept' };
     const answer = request(`http://${front.address}/k/a`, { method: 'GET', headers });
-    void bridge.forward(forwardTo(await next('requestArrived'), 1, good.address));
+    void bridge.forward(forwardTo(await nextEvent('requestArrived'), 1, good.address));
     await (await answer).body.dump();
     expect(seen).toEqual(['7', '1', 'kept']);
   });
 
   it("closes the caller's connection when a response is truncated", async () => {
-    const { bridge, front, next } = await createBridge();
+    const { bridge, front, nextEvent } = await createBridge();
     const truncating = await server((_, response) => {
       response.writeHead(200, { 'content-length': '100' });
       response.write('half', () => response.destroy());
     });
     const answer = request(`http://${front.address}/k/a`, { method: 'GET' });
-    void bridge.forward(forwardTo(await next('requestArrived'), 1, truncating.address));
-    const ended: AttemptEndedEvent = await next('attemptEnded');
+    void bridge.forward(forwardTo(await nextEvent('requestArrived'), 1, truncating.address));
+    const ended: AttemptEndedEvent = await nextEvent('attemptEnded');
     expect(ended.result).toEqual({ kind: 'lost', reason: expect.a(String), answerStarted: true });
     const text = await (await answer).body.text().catch(() => 'broken');
     expect(text).toEqual('broken');
@@ -133,12 +133,12 @@
     ],
   ] as const) {
     it(`reports ${expected} after ${name}`, async () => {
-      const { bridge, front, next } = await createBridge();
+      const { bridge, front, nextEvent } = await createBridge();
       const failing = await server(listener as Parameters<typeof startServer>[0]);
       const answer = request(`http://${front.address}/k/a`, { method: 'GET' }).catch(() => undefined);
-      const arrived = await next('requestArrived');
+      const arrived = await nextEvent('requestArrived');
       void bridge.forward(forwardTo(arrived, 1, failing.address));
-      expect((await next('attemptEnded')).result.kind).toEqual(expected);
+      expect((await nextEvent('attemptEnded')).result.kind).toEqual(expected);
       const { requestId } = arrived;
       bridge.answer({
         kind: 'answer',
@@ -154,42 +154,42 @@
   }
 
   it('reports notSent when no connection was established', async () => {
-    const { bridge, front, next } = await createBridge();
+    const { bridge, front, nextEvent } = await createBridge();
     const gone = await startServer(() => undefined);
     stopServers(gone);
     const answer = request(`http://${front.address}/k/a`, { method: 'GET' }).catch(() => undefined);
-    void bridge.forward(forwardTo(await next('requestArrived'), 1, gone.address));
-    expect((await next('attemptEnded')).result.kind).toEqual('notSent');
+    void bridge.forward(forwardTo(await nextEvent('requestArrived'), 1, gone.address));
+    expect((await nextEvent('attemptEnded')).result.kind).toEqual('notSent');
     stopServers(front);
     await answer;
   });
 
   it('notifies the reducer when the caller disconnects', async () => {
-    const { front, next } = await createBridge();
+    const { front, nextEvent } = await createBridge();
     const abort = new AbortController();
     const answer = request(`http://${front.address}/k/a`, { method: 'GET', signal: abort.signal }).catch(
       () => undefined,
     );
-    const { requestId } = await next('requestArrived');
+    const { requestId } = await nextEvent('requestArrived');
     abort.abort();
-    expect((await next('callerLeft')).requestId).toEqual(requestId);
+    expect((await nextEvent('callerLeft')).requestId).toEqual(requestId);
     await answer;
   });
 
   for (const leave of ['reset', 'close'] as const) {
     it(`keeps running when a caller disconnects by a ${leave} while its body is forwarded to a server`, async () => {
-      const { bridge, front, next, nextFrom } = await createBridge();
+      const { bridge, front, nextEvent, waitForRequest } = await createBridge();
       const unresponsive = await server((incoming) => void incoming.resume());
       const [host, port] = front.address.split(':');
       const half = 'POST /k/a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\n';
-      const forwarded = next('requestArrived').then((arrived) => {
+      const forwarded = nextEvent('requestArrived').then((arrived) => {
         void bridge.forward(forwardTo(arrived, 1, unresponsive.address));
         return once(unresponsive.server, 'request');
       });
       await sendAndDisconnect(Number(port), host as string, half, leave, forwarded);
-      await next('callerLeft');
+      await nextEvent('callerLeft');
       const later = request(`http://${front.address}/k/later`).catch(() => undefined);
-      await nextFrom('/k/later');
+      await waitForRequest('/k/later');
       stopServers(front);
       await later;
     });
@@ -210,7 +210,7 @@
   ] as const) {
     for (const leave of ['reset', 'close'] as const) {
       it(`keeps running when a caller sends ${name} and disconnects by a ${leave}`, async () => {
-        const { front, nextFrom } = await createBridge();
+        const { front, waitForRequest } = await createBridge();
         const [host, port] = front.address.split(':');
         for (let caller = 0; caller < DISCONNECTING_CALLERS; caller += 1) {
           // An incomplete or oversized request head never becomes a request event.
@@ -221,7 +221,7 @@
         const later = request(`http://${front.address}/k/later`, { signal: abort.signal }).catch(
           () => undefined,
         );
-        await nextFrom('/k/later');
+        await waitForRequest('/k/later');
         abort.abort();
         await later;
       });
