--- a/src/admin/admin-app.ts
+++ b/src/admin/admin-app.ts
@@ -11,7 +11,7 @@
 import type { DaemonState } from '../core/daemon-state.js';
 import type { OperatorCommand } from '../core/events.js';
 import { FennelferryError } from '../errors.js';
-import { missingForReadiness } from '../runtime/readiness.js';
+import { unmetReadinessConditions } from '../runtime/readiness.js';
 import { editConfiguration, type EditStatement } from './configuration-edits.js';
 import { parseStatement } from './language/parser.js';
 import type { Statement } from './language/statements.js';
@@ -106,7 +106,7 @@
   app.get('/metrics', async (context) => context.text(await admin.metrics.metrics()));
   app.get('/health/live', (context) => context.json({ live: true }));
   app.get('/health/ready', (context) => {
-    const missing = missingForReadiness(admin.state);
+    const missing = unmetReadinessConditions(admin.state);
     return context.json({ ready: missing.length === 0, missing }, missing.length === 0 ? 200 : 503);
   });
   app.post('/statement', async (context) => {
--- a/src/admin/queries.ts
+++ b/src/admin/queries.ts
@@ -107,7 +107,7 @@
     version:
       member.id === state.identity.id
         ? state.configuration.version
-        : (state.tables.peerVersions.get(member.id) ?? null),
+        : (state.tables.peerConfigurationVersions.get(member.id) ?? null),
   }));
 }
 
--- a/src/core/commands/operator-commands.ts
+++ b/src/core/commands/operator-commands.ts
@@ -6,7 +6,7 @@
 import { CONFIGURATION_OBJECT, parseRoutingConfiguration } from '../configuration/routing-configuration.js';
 import { shardOfUnit, shardsOf } from '../configuration/shard-layout.js';
 import type { ReducerContext } from '../context.js';
-import { adoptConfiguration } from '../dissemination/configuration-spread.js';
+import { applyConfiguration } from '../dissemination/configuration-propagation.js';
 import type {
   ObjectReadEvent,
   ObjectWrittenEvent,
@@ -178,7 +178,7 @@
 function completeConfigure(context: ReducerContext, pending: PendingConfigure, version: number): void {
   context.state.commands.pendingConfigure = null;
   const root = context.state.identity.id;
-  adoptConfiguration(context, { kind: 'configurationPush', version, text: pending.command.text, root });
+  applyConfiguration(context, { kind: 'configurationPush', version, text: pending.command.text, root });
   emitCommandResult(context, pending.commandId, true, `configuration ${version} is accepted`);
 }
 
--- a/src/core/consensus/election.ts
+++ b/src/core/consensus/election.ts
@@ -1,26 +1,26 @@
 /**
- * Elections within a shard. A replica first asks whether it could win (pre-vote), so that one that was
- * cut off does not depose a working leader on its return.
+ * Leader election within a shard. A replica first asks whether it could win (pre-vote), so that a replica
+ * that was partitioned does not depose a working leader when it reconnects.
  */
 import type { ReducerContext } from '../context.js';
 import type { ReplicaId } from '../identifiers.js';
 import type { Campaign, VoteReply, VoteRequest } from '../messages.js';
-import { startLeading, stopLeading } from './replication.js';
-import { majorityOf, otherReplicas, type ShardReplica } from './shard-replica.js';
+import { becomeLeader, stepDown } from './replication.js';
+import { majoritySize, otherReplicas, type ShardReplica } from './shard-replica.js';
 
-/** Puts the next election off by a fresh random time. */
-export function deferElection(context: ReducerContext, replica: ShardReplica): void {
+/** Restarts the election timer with a new random timeout. */
+export function resetElectionTimer(context: ReducerContext, replica: ShardReplica): void {
   const { timing, random } = context.state;
-  const silence = timing.electionMinimum + random.fraction() * timing.electionSpread;
-  replica.electionDeadline = context.now + silence;
+  const electionTimeout = timing.minElectionTimeout + random.fraction() * timing.electionTimeoutJitter;
+  replica.electionDeadline = context.now + electionTimeout;
 }
 
-/** Follows a newer term; a leader of an older one stops leading. */
+/** Adopts a newer term. A leader of an older term steps down. */
 export function adoptTerm(context: ReducerContext, replica: ShardReplica, term: number): void {
   if (term <= replica.term) {
     return;
   }
-  stopLeading(context, replica, 'a newer term was seen');
+  stepDown(context, replica, 'a newer term was seen');
   replica.term = term;
   replica.votedFor = null;
   replica.leader = null;
@@ -48,9 +48,9 @@
   replica.leader = null;
   replica.votes.clear();
   replica.votes.add(replica.self);
-  deferElection(context, replica);
+  resetElectionTimer(context, replica);
   requestVotes(context, replica, true);
-  continueWithMajority(context, replica);
+  advanceOnMajority(context, replica);
 }
 
 function startElection(context: ReducerContext, replica: ShardReplica): void {
@@ -59,54 +59,59 @@
   replica.votedFor = replica.self;
   replica.votes.clear();
   replica.votes.add(replica.self);
-  deferElection(context, replica);
+  resetElectionTimer(context, replica);
   requestVotes(context, replica, false);
-  continueWithMajority(context, replica);
+  advanceOnMajority(context, replica);
 }
 
-function continueWithMajority(context: ReducerContext, replica: ShardReplica): void {
-  const inSet = replica.log.replicas.filter((id) => replica.votes.has(id)).length;
-  if (inSet < majorityOf(replica.log.replicas.length)) {
+function advanceOnMajority(context: ReducerContext, replica: ShardReplica): void {
+  const voteCount = replica.log.replicas.filter((id) => replica.votes.has(id)).length;
+  if (voteCount < majoritySize(replica.log.replicas.length)) {
     return;
   }
   if (replica.role === 'preCandidate') {
     startElection(context, replica);
   } else if (replica.role === 'candidate') {
-    startLeading(context, replica);
+    becomeLeader(context, replica);
   }
 }
 
-/** Stands for election when the leader has been silent for too long. */
+/** Starts a pre-vote when the election timeout has passed without contact from a leader. */
 export function tickElection(context: ReducerContext, replica: ShardReplica): void {
   if (replica.electionDeadline === 0) {
-    deferElection(context, replica);
+    resetElectionTimer(context, replica);
   }
-  const inSet = replica.log.replicas.includes(replica.self);
-  const mayStand = replica.role !== 'leader' && inSet && !replica.dormant && !context.state.stopping;
-  if (mayStand && context.now >= replica.electionDeadline) {
+  const isInReplicaSet = replica.log.replicas.includes(replica.self);
+  const mayStartElection =
+    replica.role !== 'leader' && isInReplicaSet && !replica.removedFromReplicaSet && !context.state.stopping;
+  if (mayStartElection && context.now >= replica.electionDeadline) {
     startPreVote(context, replica);
   }
 }
 
-/** The leader stops as planned and has chosen this replica: no pre-vote, since others still hear the leader. */
+/**
+ * Starts an election at the request of a leader that stops. Skips the pre-vote, which others would refuse
+ * while they still have recent contact with that leader.
+ */
 export function receiveCampaign(context: ReducerContext, replica: ShardReplica, message: Campaign): void {
   if (message.term === replica.term && replica.role === 'follower' && !context.state.stopping) {
     startElection(context, replica);
   }
 }
 
-/** Gives leadership to the follower that has come furthest. */
-export function handLeadershipOn(context: ReducerContext, replica: ShardReplica): void {
+/** Transfers leadership to the follower with the highest replicated index. */
+export function transferLeadership(context: ReducerContext, replica: ShardReplica): void {
   const { shard, generation, term, progress } = replica;
-  const [furthest] = otherReplicas(replica).sort(
+  const [mostCaughtUp] = otherReplicas(replica).sort(
     (left, right) => (progress.get(right)?.matchIndex ?? 0) - (progress.get(left)?.matchIndex ?? 0),
   );
-  if (furthest === undefined) {
-    // Nobody else can renew the leases that the requests in flight stand under.
+  if (mostCaughtUp === undefined) {
+    // No other replica can renew the server leases under which the requests in flight run, so this one keeps
+    // leading.
     return;
   }
-  stopLeading(context, replica, 'a planned stop');
-  context.sendToReplica(furthest, { kind: 'campaign', shard, generation, term });
+  stepDown(context, replica, 'a planned stop');
+  context.sendToReplica(mostCaughtUp, { kind: 'campaign', shard, generation, term });
 }
 
 function isUpToDate(replica: ShardReplica, message: VoteRequest): boolean {
@@ -114,16 +119,18 @@
   return message.lastTerm > lastTerm || (message.lastTerm === lastTerm && message.lastIndex >= lastIndex);
 }
 
-function hearsALeader(context: ReducerContext, replica: ShardReplica): boolean {
-  const silence = context.now - replica.lastLeaderContact;
-  return replica.role === 'leader' || silence < context.state.timing.electionMinimum;
+function hasRecentLeaderContact(context: ReducerContext, replica: ShardReplica): boolean {
+  const sinceLeaderContact = context.now - replica.lastLeaderContactAt;
+  return replica.role === 'leader' || sinceLeaderContact < context.state.timing.minElectionTimeout;
 }
 
-function grantsPreVote(context: ReducerContext, replica: ShardReplica, message: VoteRequest): boolean {
-  return message.term > replica.term && isUpToDate(replica, message) && !hearsALeader(context, replica);
+function decidePreVote(context: ReducerContext, replica: ShardReplica, message: VoteRequest): boolean {
+  return (
+    message.term > replica.term && isUpToDate(replica, message) && !hasRecentLeaderContact(context, replica)
+  );
 }
 
-function grantsVote(
+function decideVote(
   context: ReducerContext,
   replica: ShardReplica,
   candidate: ReplicaId,
@@ -132,16 +139,16 @@
   if (message.term < replica.term || !isUpToDate(replica, message)) {
     return false;
   }
-  const free = replica.votedFor === null || replica.votedFor === candidate;
-  if (!free && context.state.rules.voteOncePerTerm) {
+  const mayVote = replica.votedFor === null || replica.votedFor === candidate;
+  if (!mayVote && context.state.rules.voteOncePerTerm) {
     return false;
   }
   replica.votedFor = candidate;
-  deferElection(context, replica);
+  resetElectionTimer(context, replica);
   return true;
 }
 
-/** Votes, or says why not. */
+/** Decides on a vote or pre-vote and replies to the candidate. */
 export function receiveVoteRequest(
   context: ReducerContext,
   replica: ShardReplica,
@@ -153,23 +160,23 @@
   const removed = !replica.log.replicas.includes(candidate);
   let granted = false;
   if (!removed && preVote) {
-    granted = grantsPreVote(context, replica, message);
+    granted = decidePreVote(context, replica, message);
   } else if (!removed) {
-    adoptTermOfCandidate(context, replica, message);
-    granted = grantsVote(context, replica, candidate, message);
+    adoptCandidateTerm(context, replica, message);
+    granted = decideVote(context, replica, candidate, message);
   }
   const term = preVote && granted ? message.term : replica.term;
   context.sendToReplica(candidate, { kind: 'voteReply', shard, generation, term, granted, preVote, removed });
 }
 
-function adoptTermOfCandidate(context: ReducerContext, replica: ShardReplica, message: VoteRequest): void {
+function adoptCandidateTerm(context: ReducerContext, replica: ShardReplica, message: VoteRequest): void {
   if (message.term > replica.term) {
     adoptTerm(context, replica, message.term);
     replica.role = 'follower';
   }
 }
 
-/** Counts a vote. */
+/** Counts a granted vote or pre-vote; adopts a newer term from a refusal. */
 export function receiveVoteReply(
   context: ReducerContext,
   replica: ShardReplica,
@@ -177,7 +184,7 @@
   message: VoteReply,
 ): void {
   if (message.removed) {
-    replica.dormant = true;
+    replica.removedFromReplicaSet = true;
     return;
   }
   if (!message.granted) {
@@ -191,6 +198,6 @@
   const expectedTerm = message.preVote ? replica.term + 1 : replica.term;
   if (replica.role === expected && message.term === expectedTerm) {
     replica.votes.add(voter);
-    continueWithMajority(context, replica);
+    advanceOnMajority(context, replica);
   }
 }
--- a/src/core/consensus/replication.ts
+++ b/src/core/consensus/replication.ts
@@ -1,11 +1,11 @@
 /**
- * Replication within a shard: the leader's heartbeats and entries, the followers' answers, commitment,
- * and the snapshot for a replica that lacks entries the leader has dropped.
+ * Log replication within a shard: the leader's heartbeats and entries, the followers' replies, commitment,
+ * and snapshots for a replica that lacks entries which the leader has compacted.
  */
 import type { ReducerContext } from '../context.js';
 import type { ReplicaId } from '../identifiers.js';
 import {
-  emptyChange,
+  createEmptyChange,
   type Append,
   type AppendReply,
   type LogEntry,
@@ -14,43 +14,43 @@
 } from '../messages.js';
 import { applyChange, tableAsChange, tableFromChange } from '../ownership/ownership-table.js';
 import { onCommitted, onLeadershipStarted, onLeadershipStopped } from '../ownership/shard-leadership.js';
-import { adoptTerm, deferElection } from './election.js';
+import { adoptTerm, resetElectionTimer } from './election.js';
 import { ReplicatedLog } from './replicated-log.js';
-import { majorityOf, otherReplicas, type FollowerProgress, type ShardReplica } from './shard-replica.js';
+import { majoritySize, otherReplicas, type FollowerProgress, type ShardReplica } from './shard-replica.js';
 
-const ENTRIES_PER_MESSAGE = 64;
-const KEPT_ENTRIES = 256;
-/** A leader without a quorum for this many election times steps down. */
-const QUORUM_PATIENCE = 2;
+const MAX_ENTRIES_PER_APPEND = 64;
+const RETAINED_LOG_ENTRIES = 256;
+/** A leader steps down after this many maximum election timeouts without replies from a quorum. */
+const QUORUM_TIMEOUT_FACTOR = 2;
 
-/** Takes up leadership after a won election. */
-export function startLeading(context: ReducerContext, replica: ShardReplica): void {
+/** Makes the replica the leader after it won an election. */
+export function becomeLeader(context: ReducerContext, replica: ShardReplica): void {
   replica.role = 'leader';
   replica.leader = replica.self;
   replica.progress.clear();
   replica.quorumRound = replica.round;
-  replica.quorumContactAt = context.now;
+  replica.lastQuorumContactAt = context.now;
   replica.nextHeartbeatAt = context.now;
   context.state.counters.elections_won += 1;
-  context.log('info', `leads shard ${replica.shard} in term ${replica.term}`);
+  context.log('info', `became leader of shard ${replica.shard} in term ${replica.term}`);
   onLeadershipStarted(context, replica);
-  propose(context, replica, emptyChange());
+  propose(context, replica, createEmptyChange());
 }
 
-/** Gives leadership up, if the replica has it. */
-export function stopLeading(context: ReducerContext, replica: ShardReplica, reason: string): void {
+/** Ends the replica's leadership; does nothing when the replica does not lead. */
+export function stepDown(context: ReducerContext, replica: ShardReplica, reason: string): void {
   if (replica.role !== 'leader') {
     return;
   }
   replica.role = 'follower';
   replica.leader = null;
   context.state.counters.leadership_lost += 1;
-  context.log('warn', `no longer leads shard ${replica.shard}: ${reason}`);
-  deferElection(context, replica);
+  context.log('warn', `stepped down as leader of shard ${replica.shard}: ${reason}`);
+  resetElectionTimer(context, replica);
   onLeadershipStopped(context, replica);
 }
 
-/** Adds an entry to the leader's log and sends it. Returns its index. */
+/** Appends an entry to the leader's log, sends it to the followers and returns its index. */
 export function propose(
   context: ReducerContext,
   replica: ShardReplica,
@@ -59,19 +59,23 @@
 ): number {
   const entry: LogEntry = { term: replica.term, change, replicas: [...replicas] };
   const index = replica.log.append(entry);
-  broadcast(context, replica);
+  broadcastEntries(context, replica);
   advanceCommit(context, replica);
   return index;
 }
 
-function progressOf(context: ReducerContext, replica: ShardReplica, follower: ReplicaId): FollowerProgress {
+function getOrCreateProgress(
+  context: ReducerContext,
+  replica: ShardReplica,
+  follower: ReplicaId,
+): FollowerProgress {
   let progress = replica.progress.get(follower);
   if (progress === undefined) {
     progress = {
       nextIndex: replica.log.lastIndex,
       matchIndex: 0,
-      answeredRound: 0,
-      lastAnswerAt: context.now,
+      acknowledgedRound: 0,
+      lastReplyAt: context.now,
     };
     replica.progress.set(follower, progress);
   }
@@ -95,7 +99,7 @@
 }
 
 function sendAppend(context: ReducerContext, replica: ShardReplica, follower: ReplicaId): void {
-  const progress = progressOf(context, replica, follower);
+  const progress = getOrCreateProgress(context, replica, follower);
   const { shard, generation, term, round, log, commitIndex } = replica;
   const previousIndex = Math.max(0, progress.nextIndex - 1);
   const previousTerm = log.termAt(previousIndex);
@@ -103,7 +107,7 @@
     sendSnapshot(context, replica, follower);
     return;
   }
-  const entries = log.entriesFrom(previousIndex + 1, ENTRIES_PER_MESSAGE);
+  const entries = log.entriesFrom(previousIndex + 1, MAX_ENTRIES_PER_APPEND);
   context.sendToReplica(follower, {
     kind: 'append',
     shard,
@@ -117,8 +121,8 @@
   });
 }
 
-/** Starts a heartbeat round: every follower gets what it lacks. */
-export function broadcast(context: ReducerContext, replica: ShardReplica): void {
+/** Starts a heartbeat round: sends each follower the entries that it lacks. */
+export function broadcastEntries(context: ReducerContext, replica: ShardReplica): void {
   replica.round += 1;
   replica.nextHeartbeatAt = context.now + context.state.timing.heartbeat;
   for (const follower of otherReplicas(replica)) {
@@ -127,31 +131,31 @@
   updateQuorumRound(context, replica);
 }
 
-/** Heartbeats when due; steps down when no quorum answers. */
+/** Sends a heartbeat when one is due. Steps down when no quorum replies. */
 export function tickReplication(context: ReducerContext, replica: ShardReplica): void {
   if (replica.role !== 'leader') {
     return;
   }
   const { timing } = context.state;
-  const patience = QUORUM_PATIENCE * (timing.electionMinimum + timing.electionSpread);
-  if (context.now - replica.quorumContactAt > patience) {
-    stopLeading(context, replica, 'no quorum answers');
+  const quorumTimeout = QUORUM_TIMEOUT_FACTOR * (timing.minElectionTimeout + timing.electionTimeoutJitter);
+  if (context.now - replica.lastQuorumContactAt > quorumTimeout) {
+    stepDown(context, replica, 'no quorum of replicas replies');
     return;
   }
   if (context.now >= replica.nextHeartbeatAt) {
-    broadcast(context, replica);
+    broadcastEntries(context, replica);
   }
 }
 
 function updateQuorumRound(context: ReducerContext, replica: ShardReplica): void {
   const rounds = replica.log.replicas.map((id) =>
-    id === replica.self ? replica.round : (replica.progress.get(id)?.answeredRound ?? 0),
+    id === replica.self ? replica.round : (replica.progress.get(id)?.acknowledgedRound ?? 0),
   );
   rounds.sort((left, right) => right - left);
-  const quorumRound = rounds[majorityOf(rounds.length) - 1] ?? 0;
+  const quorumRound = rounds[majoritySize(rounds.length) - 1] ?? 0;
   if (quorumRound > replica.quorumRound) {
     replica.quorumRound = quorumRound;
-    replica.quorumContactAt = context.now;
+    replica.lastQuorumContactAt = context.now;
   }
 }
 
@@ -161,9 +165,9 @@
     id === replica.self ? log.lastIndex : (replica.progress.get(id)?.matchIndex ?? 0),
   );
   matches.sort((left, right) => right - left);
-  const quorum = context.state.rules.commitByQuorum ? majorityOf(matches.length) : 1;
+  const quorum = context.state.rules.commitByQuorum ? majoritySize(matches.length) : 1;
   const candidate = matches[quorum - 1] ?? 0;
-  // Only an entry of the leader's own term commits by counting (Raft, section 5.4.2).
+  // Only an entry of the leader's current term may be committed by counting replicas (Raft, section 5.4.2).
   if (candidate > replica.commitIndex && log.termAt(candidate) === replica.term) {
     replica.commitIndex = candidate;
     applyCommitted(context, replica);
@@ -185,16 +189,16 @@
       onCommitted(context, replica, index, entry);
     }
   }
-  replica.log.compactTo(replica.appliedIndex - KEPT_ENTRIES);
+  replica.log.compactTo(replica.appliedIndex - RETAINED_LOG_ENTRIES);
 }
 
 function followLeader(context: ReducerContext, replica: ShardReplica, leader: ReplicaId, term: number): void {
   adoptTerm(context, replica, term);
   replica.role = 'follower';
   replica.leader = leader;
-  replica.lastLeaderContact = context.now;
-  replica.dormant = false;
-  deferElection(context, replica);
+  replica.lastLeaderContactAt = context.now;
+  replica.removedFromReplicaSet = false;
+  resetElectionTimer(context, replica);
 }
 
 function mergeEntries(replica: ShardReplica, message: Append): void {
@@ -211,11 +215,11 @@
   });
 }
 
-function answerLeader(
+function sendAppendReply(
   context: ReducerContext,
   replica: ShardReplica,
   leader: ReplicaId,
-  answer: Pick<AppendReply, 'round' | 'success' | 'matchIndex'>,
+  fields: Pick<AppendReply, 'round' | 'success' | 'matchIndex'>,
 ): void {
   const { shard, generation, term } = replica;
   context.sendToReplica(leader, {
@@ -224,18 +228,18 @@
     generation,
     term,
     needsSnapshot: false,
-    ...answer,
+    ...fields,
   });
 }
 
-/** Tells a leader that this replica, new in the set, holds nothing of the shard yet. */
-export function askForSnapshot(context: ReducerContext, leader: ReplicaId, message: Append): void {
+/** Requests a snapshot from the leader: this replica is new in the set and has no state of the shard. */
+export function requestSnapshot(context: ReducerContext, leader: ReplicaId, message: Append): void {
   const { shard, generation, term, round } = message;
-  const nothing = { success: false, matchIndex: 0, needsSnapshot: true };
-  context.sendToReplica(leader, { kind: 'appendReply', shard, generation, term, round, ...nothing });
+  const noState = { success: false, matchIndex: 0, needsSnapshot: true };
+  context.sendToReplica(leader, { kind: 'appendReply', shard, generation, term, round, ...noState });
 }
 
-/** Takes entries from the leader, or says from where they are missing. */
+/** Appends the leader's entries, or replies with the index after which entries are missing. */
 export function receiveAppend(
   context: ReducerContext,
   replica: ShardReplica,
@@ -244,13 +248,13 @@
 ): void {
   const { round } = message;
   if (message.term < replica.term) {
-    answerLeader(context, replica, leader, { round, success: false, matchIndex: 0 });
+    sendAppendReply(context, replica, leader, { round, success: false, matchIndex: 0 });
     return;
   }
   followLeader(context, replica, leader, message.term);
   const { log } = replica;
-  const covered = message.previousIndex < log.baseIndex;
-  const success = covered || log.termAt(message.previousIndex) === message.previousTerm;
+  const isCompacted = message.previousIndex < log.baseIndex;
+  const success = isCompacted || log.termAt(message.previousIndex) === message.previousTerm;
   let matchIndex = Math.min(log.lastIndex, Math.max(0, message.previousIndex - 1));
   if (success) {
     mergeEntries(replica, message);
@@ -258,10 +262,10 @@
     replica.commitIndex = Math.max(replica.commitIndex, Math.min(message.commitIndex, matchIndex));
     applyCommitted(context, replica);
   }
-  answerLeader(context, replica, leader, { round, success, matchIndex });
+  sendAppendReply(context, replica, leader, { round, success, matchIndex });
 }
 
-/** Takes a whole table in place of entries that the leader has dropped. */
+/** Replaces the log and the table with a snapshot, in place of entries that the leader has compacted. */
 export function receiveSnapshot(
   context: ReducerContext,
   replica: ShardReplica,
@@ -278,14 +282,14 @@
     replica.commitIndex = message.lastIndex;
     replica.appliedIndex = message.lastIndex;
   }
-  answerLeader(context, replica, leader, {
+  sendAppendReply(context, replica, leader, {
     round: message.round,
     success: true,
     matchIndex: replica.appliedIndex,
   });
 }
 
-/** Notes how far a follower has come. */
+/** Records a follower's progress and sends the entries that it still lacks. */
 export function receiveAppendReply(
   context: ReducerContext,
   replica: ShardReplica,
@@ -300,9 +304,9 @@
   if (replica.role !== 'leader' || message.term < replica.term || !replica.log.replicas.includes(follower)) {
     return;
   }
-  const progress = progressOf(context, replica, follower);
-  progress.answeredRound = Math.max(progress.answeredRound, message.round);
-  progress.lastAnswerAt = context.now;
+  const progress = getOrCreateProgress(context, replica, follower);
+  progress.acknowledgedRound = Math.max(progress.acknowledgedRound, message.round);
+  progress.lastReplyAt = context.now;
   updateQuorumRound(context, replica);
   if (message.needsSnapshot) {
     sendSnapshot(context, replica, follower);
--- a/src/core/dissemination/configuration-spread.ts
+++ b/src/core/dissemination/configuration-propagation.ts
@@ -1,6 +1,6 @@
 /**
- * Brings the routing configuration from the platform's store to every daemon. Only the watchers read the
- * store; all others learn along the tree, and the digests on pings repair what the tree missed.
+ * Propagates the routing configuration from the store to every daemon. Only a few watchers read the store;
+ * the other daemons receive it along the propagation tree, and the digests on pings repair missed updates.
  */
 import { parseRoutingConfiguration, CONFIGURATION_OBJECT } from '../configuration/routing-configuration.js';
 import { putInForce } from '../configuration/configuration-state.js';
@@ -10,40 +10,46 @@
 import type { DaemonId, Milliseconds } from '../identifiers.js';
 import { aliveMembers } from '../membership/membership.js';
 import type { ConfigurationPush } from '../messages.js';
-import { spread } from './spread-tree.js';
+import { propagate } from './propagation-tree.js';
 
-/** How many daemons of a side read the store. */
-const WATCHERS = 2;
+/** The number of daemons of a side that watch the store. */
+const STORE_WATCHERS = 2;
 
-/** A daemon joins the others first: they hold the configuration, and the store bears only a few readers. */
-const JOIN_FIRST: Milliseconds = 500;
+/**
+ * A daemon waits this long after its start before it may watch the store, so that it first joins the other
+ * daemons, which have the configuration: the store supports only a few readers.
+ */
+const JOIN_TIME_BEFORE_WATCH: Milliseconds = 500;
 
-/** Who reads the store is worked out at most this often. */
-const CHOICE_KEPT: Milliseconds = 500;
+/** The shortest time between two selections of the watchers. */
+const WATCHER_SELECTION_INTERVAL: Milliseconds = 500;
 
-/** Whether this daemon is one of the few that read the store. Worked out anew when the members change, now and then. */
-export function isWatcher(context: ReducerContext): boolean {
+/**
+ * Returns whether this daemon is a watcher of the store. Reselects the watchers when the membership has
+ * changed, at most once in each `WATCHER_SELECTION_INTERVAL`.
+ */
+export function isStoreWatcher(context: ReducerContext): boolean {
   const { membership, configuration } = context.state;
   const members = aliveMembers(membership);
   const { watcherDecision: watcherChoice } = configuration;
   if (watcherChoice.members !== members && context.now >= watcherChoice.validUntil) {
     const names = members.map((member) => member.id);
-    const chosen = rendezvousOrder(CONFIGURATION_OBJECT, names).slice(0, WATCHERS);
-    const until = context.now + CHOICE_KEPT;
+    const chosen = rendezvousOrder(CONFIGURATION_OBJECT, names).slice(0, STORE_WATCHERS);
+    const until = context.now + WATCHER_SELECTION_INTERVAL;
     configuration.watcherDecision = { members, own: chosen.includes(membership.self.id), validUntil: until };
   }
   return configuration.watcherDecision.own;
 }
 
-/** Starts the next wait for a newer configuration. */
-export function tickConfiguration(context: ReducerContext): void {
+/** Starts the next watch for a newer configuration when one is due. */
+export function tickConfigurationWatch(context: ReducerContext): void {
   const { configuration, startedAt } = context.state;
-  const young = context.now - startedAt < JOIN_FIRST;
+  const isJoining = context.now - startedAt < JOIN_TIME_BEFORE_WATCH;
   if (
-    young ||
+    isJoining ||
     configuration.storeReadPending ||
     context.now < configuration.nextStoreReadAt ||
-    !isWatcher(context)
+    !isStoreWatcher(context)
   ) {
     return;
   }
@@ -51,34 +57,31 @@
   context.emit({ kind: 'readObject', name: CONFIGURATION_OBJECT, afterVersion: configuration.version });
 }
 
-/** The store answered a watcher, or did not. */
+/** Handles the result of a watch of the configuration object, which may be a failure. */
 export function receiveConfigurationObject(context: ReducerContext, event: ObjectReadEvent): void {
   const { configuration, timing, counters } = context.state;
   configuration.storeReadPending = false;
   const reachable = event.result !== null;
   if (configuration.storeReachable !== reachable) {
     configuration.storeReachable = reachable;
-    context.log(
-      reachable ? 'info' : 'warn',
-      `the platform's store ${reachable ? 'answers' : 'does not answer'}`,
-    );
+    context.log(reachable ? 'info' : 'warn', `the store is ${reachable ? 'reachable' : 'unreachable'}`);
   }
   if (event.result === null) {
     counters.store_failures += 1;
-    configuration.nextStoreReadAt = context.now + timing.storeRetry;
+    configuration.nextStoreReadAt = context.now + timing.storeRetryDelay;
     return;
   }
   const { version, value } = event.result;
   const root = context.state.identity.id;
   if (version > configuration.version) {
-    adoptConfiguration(context, { kind: 'configurationPush', version, text: value, root });
+    applyConfiguration(context, { kind: 'configurationPush', version, text: value, root });
   } else {
     configuration.nextStoreReadAt = context.now + timing.tick;
   }
 }
 
-/** Puts a newer configuration in force and passes it on. */
-export function adoptConfiguration(context: ReducerContext, message: ConfigurationPush): void {
+/** Applies a newer configuration and propagates it. */
+export function applyConfiguration(context: ReducerContext, message: ConfigurationPush): void {
   const { configuration, rules, counters } = context.state;
   const known =
     message.version === configuration.version || message.version === configuration.rejectedVersion;
@@ -90,8 +93,11 @@
   if (parsed.isErr()) {
     counters.configurations_refused += 1;
     configuration.rejectedVersion = message.version;
-    configuration.nextStoreReadAt = context.now + context.state.timing.storeRetry;
-    context.log('error', `configuration ${message.version} is refused: ${parsed.error.faults.join('; ')}`);
+    configuration.nextStoreReadAt = context.now + context.state.timing.storeRetryDelay;
+    context.log(
+      'error',
+      `configuration ${message.version} is invalid and was not applied: ${parsed.error.faults.join('; ')}`,
+    );
     return;
   }
   putInForce(configuration, message.version, message.text, parsed.value);
@@ -101,11 +107,11 @@
     leadership.replanNeeded = true;
   }
   if (message.root !== '') {
-    spread(context, message.root, message);
+    propagate(context, message.root, message);
   }
 }
 
-/** A peer saw that this daemon has a newer configuration. */
+/** Sends the configuration to a peer that requested it. */
 export function receiveConfigurationPull(context: ReducerContext, sender: DaemonId): void {
   const { version, text } = context.state.configuration;
   if (version > 0) {
--- a/src/core/dissemination/table-spread.ts
+++ b/src/core/dissemination/table-propagation.ts
@@ -1,32 +1,32 @@
 /**
- * Publishes changes of ownership tables to every router, and repairs copies that missed some.
+ * Propagates changes of ownership tables to every daemon, and repairs copies that missed a change.
  */
 import type { ShardReplica } from '../consensus/shard-replica.js';
 import type { ReducerContext } from '../context.js';
 import { hash32 } from '../hashing.js';
 import { groupOfShard, type DaemonId, type ShardId } from '../identifiers.js';
-import { emptyChange, type ShardVersion, type TableChange, type TableDelta } from '../messages.js';
+import { createEmptyChange, type ShardVersion, type TableChange, type TableDelta } from '../messages.js';
 import { applyChange, createOwnershipTable, tableAsChange } from '../ownership/ownership-table.js';
-import { spread } from './spread-tree.js';
-import { shardTableOf, type ShardTable, type TableView } from './table-view.js';
+import { propagate } from './propagation-tree.js';
+import { getOrCreateShardTable, type ShardTable, type TableView } from './table-view.js';
 
-/** A short statement of every shard's version. */
+/** Returns a digest of the versions of all shards' tables. */
 export function tableDigest(view: TableView): number {
   return view.digest;
 }
 
-function hashOf(shard: ShardId, known: ShardTable): number {
+function hashTableVersion(shard: ShardId, known: ShardTable): number {
   return known.generation === 0 ? 0 : hash32(`${shard}:${known.generation}:${known.version}`);
 }
 
-/** Every shard's version. */
-export function versionsOf(view: TableView): ShardVersion[] {
+/** Returns the version of each shard's table. */
+export function listTableVersions(view: TableView): ShardVersion[] {
   return [...view.shards].map(([shard, { generation, version }]) => ({ shard, generation, version }));
 }
 
-function applyToCopy(view: TableView, message: TableDelta): void {
-  const known = shardTableOf(view, message.shard);
-  const before = hashOf(message.shard, known);
+function applyTableDelta(view: TableView, message: TableDelta): void {
+  const known = getOrCreateShardTable(view, message.shard);
+  const before = hashTableVersion(message.shard, known);
   if (message.fromVersion === 0) {
     known.table = createOwnershipTable();
   }
@@ -35,7 +35,7 @@
   known.version = message.toVersion;
   known.leader = message.leader;
   known.replicas = message.replicas;
-  view.digest = (view.digest - before + hashOf(message.shard, known)) >>> 0;
+  view.digest = (view.digest - before + hashTableVersion(message.shard, known)) >>> 0;
   const group = groupOfShard(message.shard);
   const pins = view.pins.get(group) ?? new Map<string, number>();
   for (const pin of message.change.pins) {
@@ -44,12 +44,12 @@
   view.pins.set(group, pins);
 }
 
-function publish(context: ReducerContext, message: TableDelta): void {
-  applyToCopy(context.state.tables, message);
-  spread(context, message.root, message);
+function applyAndPropagate(context: ReducerContext, message: TableDelta): void {
+  applyTableDelta(context.state.tables, message);
+  propagate(context, message.root, message);
 }
 
-function deltaOf(
+function createTableDelta(
   context: ReducerContext,
   replica: ShardReplica,
   fromVersion: number,
@@ -72,7 +72,7 @@
   };
 }
 
-/** Called by a leader for each committed entry: tells every router. */
+/** Propagates the change of a committed entry to every daemon. A leader calls it for each committed entry. */
 export function publishTableChange(
   context: ReducerContext,
   replica: ShardReplica,
@@ -83,47 +83,56 @@
   if (leadership === undefined || !leadership.ready) {
     return;
   }
-  publish(context, deltaOf(context, replica, leadership.publishedVersion, index, change));
+  applyAndPropagate(context, createTableDelta(context, replica, leadership.publishedVersion, index, change));
   leadership.publishedVersion = index;
 }
 
-/** Called once by a new leader when its table is complete: routers that lack something ask for it. */
-export function publishLeadership(context: ReducerContext, replica: ShardReplica): void {
+/**
+ * Announces a new leader and its table version. A new leader calls it once, when its table is complete; a
+ * daemon whose copy is behind then requests the table.
+ */
+export function announceLeadership(context: ReducerContext, replica: ShardReplica): void {
   const leadership = context.state.leaderships.get(replica.shard);
   if (leadership === undefined) {
     return;
   }
   const version = replica.appliedIndex;
-  applyToCopy(context.state.tables, deltaOf(context, replica, 0, version, tableAsChange(replica.table)));
+  applyTableDelta(
+    context.state.tables,
+    createTableDelta(context, replica, 0, version, tableAsChange(replica.table)),
+  );
   leadership.publishedVersion = version;
-  const announcement = deltaOf(context, replica, version, version, emptyChange());
-  spread(context, announcement.root, announcement);
+  const announcement = createTableDelta(context, replica, version, version, createEmptyChange());
+  propagate(context, announcement.root, announcement);
 }
 
-/** Which of two (generation, version) pairs is newer. */
-function isOlder(generation: number, version: number, known: ShardTable): boolean {
+/** Returns whether a (generation, version) pair is no newer than that of the known table. */
+function isNotNewer(generation: number, version: number, known: ShardTable): boolean {
   return generation < known.generation || (generation === known.generation && version <= known.version);
 }
 
-/** Takes a change in and passes it on; asks the sender for the whole table when a change was missed. */
+/**
+ * Applies a table change and propagates it. Requests the whole table from the sender when an earlier
+ * change was missed.
+ */
 export function receiveTableDelta(context: ReducerContext, sender: DaemonId, message: TableDelta): void {
   const { tables, rules, counters, leaderships } = context.state;
-  const known = shardTableOf(tables, message.shard);
+  const known = getOrCreateShardTable(tables, message.shard);
   if (leaderships.has(message.shard)) {
     return;
   }
-  const older = isOlder(message.generation, message.toVersion, known);
-  if (older && rules.tableOnlyForward) {
+  const isOutdated = isNotNewer(message.generation, message.toVersion, known);
+  if (isOutdated && rules.tableOnlyForward) {
     return;
   }
   if (message.root !== '') {
-    spread(context, message.root, message);
+    propagate(context, message.root, message);
   }
-  const whole = message.fromVersion === 0;
-  const follows = message.generation === known.generation && message.fromVersion === known.version;
-  if (whole || follows || !rules.tableOnlyForward) {
+  const isWholeTable = message.fromVersion === 0;
+  const isNextChange = message.generation === known.generation && message.fromVersion === known.version;
+  if (isWholeTable || isNextChange || !rules.tableOnlyForward) {
     counters.table_deltas_applied += 1;
-    applyToCopy(tables, message);
+    applyTableDelta(tables, message);
     return;
   }
   counters.table_pulls += 1;
@@ -131,23 +140,26 @@
   context.send(sender, { kind: 'tablePull', versions: [{ shard: message.shard, generation, version }] });
 }
 
-/** Answers a peer that listed its versions with each table that is newer here. */
-export function sendMissingTables(
+/**
+ * Sends a peer each table of which this daemon has a newer version than the peer listed. A request that
+ * lists a single shard gets only that shard.
+ */
+export function sendNewerTables(
   context: ReducerContext,
   peer: DaemonId,
   versions: readonly ShardVersion[],
 ): void {
   const { tables } = context.state;
-  const theirs = new Map(versions.map((entry) => [entry.shard, entry]));
-  const onlyOne = versions.length === 1;
+  const peerVersions = new Map(versions.map((entry) => [entry.shard, entry]));
+  const isSingleShardPull = versions.length === 1;
   for (const [shard, known] of tables.shards) {
-    const entry = theirs.get(shard);
-    const asked = entry !== undefined || !onlyOne;
+    const entry = peerVersions.get(shard);
+    const isRequested = entry !== undefined || !isSingleShardPull;
     const { generation, version, leader, table } = known;
-    const newer =
+    const isNewer =
       generation > (entry?.generation ?? 0) ||
       (generation === (entry?.generation ?? 0) && version > (entry?.version ?? 0));
-    if (asked && newer && generation > 0) {
+    if (isRequested && isNewer && generation > 0) {
       const replicas = [...known.replicas];
       const change = tableAsChange(table);
       context.send(peer, {
--- a/src/core/membership/membership.ts
+++ b/src/core/membership/membership.ts
@@ -1,25 +1,27 @@
 /**
  * Membership by gossip with suspicion and incarnations, after the SWIM protocol (Das, Gupta and Motivala,
- * "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership Protocol", DSN 2002): one
- * member is pinged in each interval, directly and then through others, and news rides on those messages.
- * Cost for a daemon does not grow with the number of daemons.
+ * "SWIM: Scalable Weakly-consistent Infection-style Process Group Membership Protocol", DSN 2002): each
+ * daemon pings one member in each interval, directly and then through other members, and piggybacks
+ * membership updates on these messages. The cost for a daemon does not grow with the number of daemons.
  */
 import type { ReducerContext } from '../context.js';
 import { hash32 } from '../hashing.js';
 import type { DaemonId, Milliseconds } from '../identifiers.js';
 import type { Digest, Member, MemberStatus, Ping, PingAck, PingRequest } from '../messages.js';
 import type { SeededRandom } from '../random.js';
-import { rejoin } from './member-exchange.js';
+import { rejoin } from './member-sync.js';
 
-const UPDATES_PER_MESSAGE = 6;
+const MAX_UPDATES_PER_MESSAGE = 6;
 const RETRANSMIT_FACTOR = 3;
-const INDIRECT_PROBES = 2;
-/** A lost or parted member is tried again this often, so that a healed partition joins up. */
+const INDIRECT_PING_HELPERS = 2;
+/**
+ * The interval between two attempts to contact a seed or a dead member, so that a healed partition merges.
+ */
 const REJOIN_INTERVAL: Milliseconds = 3_000;
-/** Members that a leaving daemon tells itself. */
-const TOLD_OF_LEAVING = 5;
-/** A dead member is forgotten after this long. */
-const FORGET_AFTER: Milliseconds = 600_000;
+/** The number of members that a leaving daemon notifies directly. */
+const NOTIFIED_MEMBERS_ON_LEAVE = 5;
+/** The time after which the record of a dead or departed member is deleted. */
+const DEPARTED_MEMBER_RETENTION: Milliseconds = 600_000;
 
 interface OutstandingPing {
   readonly target: DaemonId;
@@ -33,73 +35,79 @@
   readonly requesterSequence: number;
 }
 
-/** All that a daemon knows of the other daemons. */
+/** The membership list of a daemon and the state of the membership protocol. */
 export interface MembershipState {
   self: Member;
   readonly members: Map<DaemonId, Member>;
   readonly seeds: readonly string[];
-  /** When each suspected member is declared dead, and each dead one is forgotten. */
+  /**
+   * The time at which each suspected member is declared dead and the record of each dead or departed member
+   * is deleted.
+   */
   readonly deadlines: Map<DaemonId, Milliseconds>;
-  /** News still to be passed on, with how many more times. */
-  readonly news: Map<DaemonId, number>;
+  /** The members whose records are still to be gossiped, with the number of remaining transmissions. */
+  readonly pendingUpdates: Map<DaemonId, number>;
   pingOrder: DaemonId[];
-  outstanding: OutstandingPing | null;
-  readonly relayed: Map<number, RelayedPing>;
+  outstandingPing: OutstandingPing | null;
+  readonly relayedPings: Map<number, RelayedPing>;
   sequence: number;
   nextPingAt: Milliseconds;
   nextRejoinAt: Milliseconds;
-  /** Alive members by name, made anew after a change. */
-  aliveCache: Member[] | null;
-  /** Sum of a hash of each life that is believed to run, modulo 2^32. */
+  /** The alive and suspected members sorted by id, or null after a membership change. */
+  cachedAliveMembers: Member[] | null;
+  /** The sum of the hashes of each alive or suspected member's (id, incarnation), modulo 2^32. */
   digest: number;
   nextSyncAt: Milliseconds;
   lastChangeAt: Milliseconds;
 }
 
-/** The membership of a daemon that has just started. */
+/** Creates the membership of a daemon that has just started. */
 export function createMembership(self: Member, seeds: readonly string[]): MembershipState {
   return {
     self,
     members: new Map([[self.id, self]]),
     seeds: seeds.filter((seed) => seed !== self.address),
     deadlines: new Map(),
-    news: new Map(),
+    pendingUpdates: new Map(),
     pingOrder: [],
-    outstanding: null,
-    relayed: new Map(),
+    outstandingPing: null,
+    relayedPings: new Map(),
     sequence: 0,
     nextPingAt: 0,
     nextRejoinAt: 0,
-    aliveCache: null,
-    digest: digestShare(self),
+    cachedAliveMembers: null,
+    digest: memberHash(self),
     nextSyncAt: 0,
     lastChangeAt: 0,
   };
 }
 
-/** Members believed to run, the daemon itself included, by name. A suspected one counts until it is dead. */
+/**
+ * Returns the members considered alive, this daemon included, sorted by id. A suspected member counts as
+ * alive until it is declared dead.
+ */
 export function aliveMembers(state: MembershipState): Member[] {
-  state.aliveCache ??= [...state.members.values()]
+  state.cachedAliveMembers ??= [...state.members.values()]
     .filter((member) => member.status === 'alive' || member.status === 'suspect')
     .sort((left, right) => (left.id < right.id ? -1 : 1));
-  return state.aliveCache;
+  return state.cachedAliveMembers;
 }
 
-/** A short statement of which lives of which members are believed to run. */
+/** Returns a digest of the members considered alive and their incarnations. */
 export function memberDigest(state: MembershipState): number {
   return state.digest;
 }
 
-function digestShare(member: Member | undefined): number {
-  const runs = member?.status === 'alive' || member?.status === 'suspect';
-  return runs ? hash32(`${member.id}#${member.incarnation}`) : 0;
+function memberHash(member: Member | undefined): number {
+  const isConsideredAlive = member?.status === 'alive' || member?.status === 'suspect';
+  return isConsideredAlive ? hash32(`${member.id}#${member.incarnation}`) : 0;
 }
 
-/** A member that is believed to run, in that very life if an incarnation is given. */
+/** Returns whether a member is considered alive, in the given incarnation if there is one. */
 export function isAlive(state: MembershipState, id: DaemonId, incarnation?: number): boolean {
   const member = state.members.get(id);
-  const runs = member?.status === 'alive' || member?.status === 'suspect';
-  return runs && (incarnation === undefined || member.incarnation === incarnation);
+  const isConsideredAlive = member?.status === 'alive' || member?.status === 'suspect';
+  return isConsideredAlive && (incarnation === undefined || member.incarnation === incarnation);
 }
 
 const STATUS_RANK: Record<MemberStatus, number> = { alive: 0, suspect: 1, dead: 2, left: 3 };
@@ -118,71 +126,77 @@
   return RETRANSMIT_FACTOR * Math.ceil(Math.log2(state.members.size + 1));
 }
 
-function record(context: ReducerContext, member: Member): void {
+function recordMember(context: ReducerContext, member: Member): void {
   const { membership, timing, counters } = context.state;
   const known = membership.members.get(member.id);
   membership.members.set(member.id, member);
-  membership.news.set(member.id, retransmissions(membership));
-  membership.aliveCache = null;
-  membership.digest = (membership.digest - digestShare(known) + digestShare(member)) >>> 0;
+  membership.pendingUpdates.set(member.id, retransmissions(membership));
+  membership.cachedAliveMembers = null;
+  membership.digest = (membership.digest - memberHash(known) + memberHash(member)) >>> 0;
   membership.lastChangeAt = context.now;
   membership.deadlines.delete(member.id);
   if (member.status === 'suspect') {
     counters.members_suspected += 1;
-    membership.deadlines.set(member.id, context.now + timing.suspicion);
+    membership.deadlines.set(member.id, context.now + timing.suspicionTimeout);
   }
   if (member.status === 'dead' || member.status === 'left') {
-    membership.deadlines.set(member.id, context.now + FORGET_AFTER);
+    membership.deadlines.set(member.id, context.now + DEPARTED_MEMBER_RETENTION);
   }
 }
 
-function refute(context: ReducerContext, claim: Member): void {
+function refuteClaim(context: ReducerContext, claim: Member): void {
   const { membership } = context.state;
-  const leaving = membership.self.status === 'left';
-  if (claim.incarnation !== membership.self.incarnation || claim.status === 'alive' || leaving) {
+  const hasLeft = membership.self.status === 'left';
+  if (claim.incarnation !== membership.self.incarnation || claim.status === 'alive' || hasLeft) {
     return;
   }
   membership.self = { ...membership.self, revision: Math.max(claim.revision, membership.self.revision) + 1 };
-  record(context, membership.self);
+  recordMember(context, membership.self);
 }
 
-/** Takes in one piece of news. */
-export function learnMember(context: ReducerContext, member: Member): void {
+/**
+ * Merges the record of one member if it is newer than the known one. Refutes a claim that this daemon itself
+ * is not alive.
+ */
+export function mergeMember(context: ReducerContext, member: Member): void {
   const { membership } = context.state;
   if (member.id === membership.self.id) {
-    refute(context, member);
+    refuteClaim(context, member);
     return;
   }
   const known = membership.members.get(member.id);
   if (known !== undefined && !isNewer(member, known)) {
     return;
   }
-  record(context, member);
+  recordMember(context, member);
   if (known?.status !== member.status && member.status !== 'suspect') {
     context.log('info', `member ${member.id} is ${member.status}`);
   }
 }
 
-/** Takes the news that has waited longest; what is to be passed on again goes to the end. */
-function takeNews(state: MembershipState): Member[] {
+/**
+ * Returns the updates that have waited longest, up to the limit for a message. An update with transmissions
+ * left moves to the end of the queue.
+ */
+function takeUpdates(state: MembershipState): Member[] {
   const updates: Member[] = [];
-  for (const [id, remaining] of state.news) {
-    if (updates.length === UPDATES_PER_MESSAGE) {
+  for (const [id, remaining] of state.pendingUpdates) {
+    if (updates.length === MAX_UPDATES_PER_MESSAGE) {
       break;
     }
     const member = state.members.get(id);
     if (member !== undefined) {
       updates.push(member);
     }
-    state.news.delete(id);
+    state.pendingUpdates.delete(id);
     if (remaining > 1) {
-      state.news.set(id, remaining - 1);
+      state.pendingUpdates.set(id, remaining - 1);
     }
   }
   return updates;
 }
 
-function nextTarget(state: MembershipState, random: SeededRandom): Member | undefined {
+function nextPingTarget(state: MembershipState, random: SeededRandom): Member | undefined {
   for (let round = 0; round < 2; round += 1) {
     while (state.pingOrder.length > 0) {
       const member = state.members.get(state.pingOrder.pop() ?? '');
@@ -199,7 +213,7 @@
 
 function shuffle(items: DaemonId[], random: SeededRandom): void {
   for (let index = items.length - 1; index > 0; index -= 1) {
-    const other = random.below(index + 1);
+    const other = random.integerBelow(index + 1);
     const item = items[index] as DaemonId;
     items[index] = items[other] as DaemonId;
     items[other] = item;
@@ -210,29 +224,30 @@
   const { membership } = context.state;
   membership.sequence += 1;
   const sequence = membership.sequence;
-  // The receiver may not know us yet: without our address it could not answer, and we would take it for dead.
-  const updates = [membership.self, ...takeNews(membership)];
+  // The receiver may not know this daemon yet. Without this daemon's address the
+  // receiver could not reply, and this daemon would declare it dead.
+  const updates = [membership.self, ...takeUpdates(membership)];
   context.send(target.id, { kind: 'ping', sequence, digest: context.digest(), updates });
   return sequence;
 }
 
 function startPing(context: ReducerContext): void {
   const { membership, random } = context.state;
-  const target = nextTarget(membership, random);
+  const target = nextPingTarget(membership, random);
   if (target === undefined) {
     return;
   }
   const sequence = sendPing(context, target);
-  membership.outstanding = { target: target.id, sequence, sentAt: context.now, indirect: false };
+  membership.outstandingPing = { target: target.id, sequence, sentAt: context.now, indirect: false };
 }
 
-function askOthersToPing(context: ReducerContext, outstanding: OutstandingPing): void {
+function requestIndirectPings(context: ReducerContext, outstanding: OutstandingPing): void {
   const { membership, random } = context.state;
   outstanding.indirect = true;
   const helpers = aliveMembers(membership).filter(
     (member) => member.id !== membership.self.id && member.id !== outstanding.target,
   );
-  for (let count = 0; count < INDIRECT_PROBES; count += 1) {
+  for (let count = 0; count < INDIRECT_PING_HELPERS; count += 1) {
     const helper = random.pick(helpers);
     if (helper !== undefined) {
       const { sequence, target } = outstanding;
@@ -241,10 +256,10 @@
   }
 }
 
-function suspect(context: ReducerContext, id: DaemonId): void {
+function markSuspect(context: ReducerContext, id: DaemonId): void {
   const member = context.state.membership.members.get(id);
   if (member?.status === 'alive') {
-    record(context, { ...member, status: 'suspect' });
+    recordMember(context, { ...member, status: 'suspect' });
   }
 }
 
@@ -257,23 +272,23 @@
     }
     if (member.status === 'suspect') {
       counters.members_declared_dead += 1;
-      record(context, { ...member, status: 'dead' });
-      context.log('warn', `member ${id} is dead: it answered no ping`);
+      recordMember(context, { ...member, status: 'dead' });
+      context.log('warn', `member ${id} is dead: it acknowledged no ping within the suspicion timeout`);
     } else {
       membership.members.delete(id);
       membership.deadlines.delete(id);
-      membership.news.delete(id);
+      membership.pendingUpdates.delete(id);
     }
   }
 }
 
-/** Tells some members that this daemon leaves; they pass it on. */
-export function leave(context: ReducerContext): void {
+/** Notifies some members that this daemon leaves; gossip propagates the update to the others. */
+export function announceLeave(context: ReducerContext): void {
   const { membership, random } = context.state;
   const others = aliveMembers(membership).filter((member) => member.id !== membership.self.id);
   membership.self = { ...membership.self, revision: membership.self.revision + 1, status: 'left' };
-  record(context, membership.self);
-  for (let count = 0; count < TOLD_OF_LEAVING; count += 1) {
+  recordMember(context, membership.self);
+  for (let count = 0; count < NOTIFIED_MEMBERS_ON_LEAVE; count += 1) {
     const other = random.pick(others);
     if (other !== undefined) {
       sendPing(context, other);
@@ -281,57 +296,59 @@
   }
 }
 
-/** Does what is due. */
+/**
+ * Runs the timers of the membership protocol: ping timeouts, deadlines, rejoin attempts and the next ping.
+ */
 export function tickMembership(context: ReducerContext): void {
   const { membership, timing } = context.state;
-  const { outstanding } = membership;
+  const { outstandingPing: outstanding } = membership;
   if (outstanding !== null) {
     const waited = context.now - outstanding.sentAt;
     if (waited >= timing.pingTimeout && !outstanding.indirect) {
-      askOthersToPing(context, outstanding);
+      requestIndirectPings(context, outstanding);
     }
     if (waited >= timing.pingInterval) {
-      suspect(context, outstanding.target);
-      membership.outstanding = null;
+      markSuspect(context, outstanding.target);
+      membership.outstandingPing = null;
     }
   }
   checkDeadlines(context);
   if (context.now >= membership.nextRejoinAt) {
-    const alone = aliveMembers(membership).length <= 1;
-    membership.nextRejoinAt = context.now + (alone ? timing.pingTimeout : REJOIN_INTERVAL);
+    const isAlone = aliveMembers(membership).length <= 1;
+    membership.nextRejoinAt = context.now + (isAlone ? timing.pingTimeout : REJOIN_INTERVAL);
     rejoin(context);
   }
-  if (context.now >= membership.nextPingAt && membership.outstanding === null) {
+  if (context.now >= membership.nextPingAt && membership.outstandingPing === null) {
     membership.nextPingAt = context.now + timing.pingInterval;
     startPing(context);
   }
 }
 
-/** Takes in several pieces of news. */
-export function learnAll(context: ReducerContext, members: readonly Member[]): void {
+/** Merges the records of several members. */
+export function mergeMembers(context: ReducerContext, members: readonly Member[]): void {
   for (const member of members) {
-    learnMember(context, member);
+    mergeMember(context, member);
   }
 }
 
-/** A ping: answer it with news of our own. */
+/** Handles a ping: replies with an acknowledgement that carries pending updates. */
 export function receivePing(context: ReducerContext, sender: DaemonId, message: Ping): void {
-  learnAll(context, message.updates);
-  const updates = takeNews(context.state.membership);
+  mergeMembers(context, message.updates);
+  const updates = takeUpdates(context.state.membership);
   context.send(sender, { kind: 'pingAck', sequence: message.sequence, digest: context.digest(), updates });
-  context.compareDigest(sender, message.digest);
+  context.requestMissingState(sender, message.digest);
 }
 
-/** An answer to a ping of our own, or to one sent for another member. */
+/** Handles the acknowledgement of this daemon's own ping or of a ping sent on behalf of another member. */
 export function receivePingAck(context: ReducerContext, sender: DaemonId, message: PingAck): void {
   const { membership } = context.state;
-  learnAll(context, message.updates);
-  if (membership.outstanding?.sequence === message.sequence) {
-    membership.outstanding = null;
+  mergeMembers(context, message.updates);
+  if (membership.outstandingPing?.sequence === message.sequence) {
+    membership.outstandingPing = null;
   }
-  const relayed = membership.relayed.get(message.sequence);
+  const relayed = membership.relayedPings.get(message.sequence);
   if (relayed !== undefined) {
-    membership.relayed.delete(message.sequence);
+    membership.relayedPings.delete(message.sequence);
     const digest: Digest = message.digest;
     context.send(relayed.requester, {
       kind: 'pingAck',
@@ -340,10 +357,10 @@
       updates: [],
     });
   }
-  context.compareDigest(sender, message.digest);
+  context.requestMissingState(sender, message.digest);
 }
 
-/** Another member asks us to ping a third. */
+/** Handles a request by another member to ping a third member (indirect ping). */
 export function receivePingRequest(context: ReducerContext, sender: DaemonId, message: PingRequest): void {
   const { membership } = context.state;
   const target = membership.members.get(message.target);
@@ -351,10 +368,10 @@
     return;
   }
   const sequence = sendPing(context, target);
-  membership.relayed.set(sequence, { requester: sender, requesterSequence: message.sequence });
-  const oldest = membership.relayed.keys().next().value;
-  const mostRelayed = 64;
-  if (membership.relayed.size > mostRelayed && oldest !== undefined) {
-    membership.relayed.delete(oldest);
+  membership.relayedPings.set(sequence, { requester: sender, requesterSequence: message.sequence });
+  const oldest = membership.relayedPings.keys().next().value;
+  const maxRelayedPings = 64;
+  if (membership.relayedPings.size > maxRelayedPings && oldest !== undefined) {
+    membership.relayedPings.delete(oldest);
   }
 }
--- a/src/core/ownership/control-calls.ts
+++ b/src/core/ownership/control-calls.ts
@@ -69,12 +69,12 @@
     session.holdings?.set(unit, { epoch, acknowledged: false });
   }
   if (stamp !== null) {
-    const bound = stamp.receivedAt + timing.serverLease + timing.driftMargin;
+    const bound = stamp.receivedAt + timing.serverLease + timing.clockDriftMargin;
     session.leaseExpiryBound = Math.max(session.leaseExpiryBound, bound);
   }
   session.sequence += 1;
   session.callSentAt = context.now;
-  session.nextCallAt = context.now + timing.renewInterval;
+  session.nextCallAt = context.now + timing.leaseRenewalInterval;
   counters.control_calls += 1;
   const request: ControlRequest = {
     shard,
--- a/src/core/ownership/hand-over.ts
+++ b/src/core/ownership/hand-over.ts
@@ -6,7 +6,7 @@
  */
 import { shardOfUnit } from '../configuration/shard-layout.js';
 import type { ReducerContext } from '../context.js';
-import { groupOfShard, ownerSide, type Epoch, type Milliseconds, type UnitNumber } from '../identifiers.js';
+import { groupOfShard, sideOfOwner, type Epoch, type Milliseconds, type UnitNumber } from '../identifiers.js';
 import type { HandOver, HandOverReply } from '../messages.js';
 import type { OwnershipRecord } from './ownership-table.js';
 import { UnitLoad } from './placement.js';
@@ -25,7 +25,7 @@
 function unconfirmedHandOversBySide(leadership: ShardLeadership): Map<string, OwnershipRecord[]> {
   const bySide = new Map<string, OwnershipRecord[]>();
   for (const record of leadership.replica.table.records.values()) {
-    const side = ownerSide(record.server);
+    const side = sideOfOwner(record.server);
     const confirmed = leadership.confirmedHandOvers.has(handOverKey(record.unit, record.epoch));
     // Not sent before the store contains the record: a recovery from the store must not reclaim the unit.
     if (side !== null && !confirmed && isDurable(leadership, record.epoch, record.unit)) {
@@ -107,7 +107,7 @@
     const server = load.leastLoaded();
     if (record !== undefined && record.epoch > epoch) {
       confirmIfDurable(leadership, record, { unit, epoch }, accepted);
-    } else if (record !== undefined && ownerSide(record.server) === null) {
+    } else if (record !== undefined && sideOfOwner(record.server) === null) {
       context.log(
         'error',
         `refused the hand-over of unit ${unit} at epoch ${epoch}: server ${record.server} owns it on this side`,
--- a/src/core/ownership/ownership-table.ts
+++ b/src/core/ownership/ownership-table.ts
@@ -3,7 +3,7 @@
  * every router.
  */
 import type { Epoch, ServerId, UnitNumber } from '../identifiers.js';
-import { emptyChange, type Holding, type TableChange } from '../messages.js';
+import { createEmptyChange, type Holding, type TableChange } from '../messages.js';
 
 /** Ownership of one unit. */
 export interface OwnershipRecord {
@@ -77,7 +77,7 @@
 export function assignmentChange(
   records: readonly Pick<OwnershipRecord, 'unit' | 'server' | 'epoch'>[],
 ): TableChange {
-  return { ...emptyChange(), holdings: groupIntoHoldings(records) };
+  return { ...createEmptyChange(), holdings: groupIntoHoldings(records) };
 }
 
 /** Creates a table from a change that contains all of its records. */
--- a/src/core/ownership/replica-repair.ts
+++ b/src/core/ownership/replica-repair.ts
@@ -13,7 +13,7 @@
   type Milliseconds,
   type ReplicaId,
 } from '../identifiers.js';
-import { emptyChange, type Member } from '../messages.js';
+import { createEmptyChange, type Member } from '../messages.js';
 import { aliveMembers, isAlive } from '../membership/membership.js';
 import { mayAddReplica, currentReplicaId } from './shard-checkpoint.js';
 import { chooseReplicas } from './shard-formation.js';
@@ -23,8 +23,8 @@
     return false;
   }
   const { membership, timing } = context.state;
-  const lastAnswerAt = replica.progress.get(id)?.lastAnswerAt ?? context.now;
-  const unresponsive = context.now - lastAnswerAt >= timing.replicaReplacement;
+  const lastAnswerAt = replica.progress.get(id)?.lastReplyAt ?? context.now;
+  const unresponsive = context.now - lastAnswerAt >= timing.replicaReplacementDelay;
   const gone = !isAlive(membership, daemonOfReplica(id), incarnationOfReplica(id));
   return gone && unresponsive;
 }
@@ -73,7 +73,7 @@
     propose(
       context,
       replica,
-      emptyChange(),
+      createEmptyChange(),
       replicas.filter((id) => id !== lost),
     );
     return;
@@ -82,6 +82,6 @@
   const added = replacement === undefined ? undefined : currentReplicaId(replacement);
   if (added !== undefined && mayAddReplica(leadership, replicas, added)) {
     context.log('info', `shard ${replica.shard}: adding replica ${added}`);
-    propose(context, replica, emptyChange(), [...replicas, added]);
+    propose(context, replica, createEmptyChange(), [...replicas, added]);
   }
 }
--- a/src/core/ownership/shard-checkpoint.ts
+++ b/src/core/ownership/shard-checkpoint.ts
@@ -6,7 +6,7 @@
 import type { ReducerContext } from '../context.js';
 import type { ObjectReadEvent, ObjectWrittenEvent } from '../events.js';
 import { replicaId, type Milliseconds, type ReplicaId } from '../identifiers.js';
-import { majorityOf } from '../consensus/shard-replica.js';
+import { majoritySize } from '../consensus/shard-replica.js';
 import { tableAsChange } from './ownership-table.js';
 import type { ShardLeadership } from './shard-leadership.js';
 import { parseShardObject, shardObjectName, type ShardObject } from './shard-object.js';
@@ -61,7 +61,7 @@
   }
   const name = shardObjectName(replica.shard);
   checkpoint.nextCallAt = context.now + CHECKPOINT_INTERVAL;
-  checkpoint.callTimeoutAt = context.now + context.state.timing.storeRetry * 3;
+  checkpoint.callTimeoutAt = context.now + context.state.timing.storeRetryDelay * 3;
   if (checkpoint.version === null) {
     context.emit({ kind: 'readObject', name, afterVersion: null });
     return;
@@ -153,7 +153,7 @@
   }
   const next = [...current, added];
   const unnamed = next.filter((id) => !stored.replicas.includes(id)).length;
-  return unnamed < majorityOf(next.length);
+  return unnamed < majoritySize(next.length);
 }
 
 /** Returns the replica id of a daemon's current incarnation. */
--- a/src/core/ownership/shard-commands.ts
+++ b/src/core/ownership/shard-commands.ts
@@ -3,7 +3,7 @@
  * a single key a unit of its own. Each function returns the reason for a refusal, or null on success.
  */
 import type { ReducerContext } from '../context.js';
-import { ownerSide, sideAsOwner, type ServerId, type UnitNumber } from '../identifiers.js';
+import { sideOfOwner, ownerIdOfSide, type ServerId, type UnitNumber } from '../identifiers.js';
 import { isStoreResponding } from './shard-checkpoint.js';
 import type { ShardLeadership } from './shard-leadership.js';
 import { placementServers, proposeMoves } from './shard-plan.js';
@@ -31,7 +31,7 @@
   if (record === undefined) {
     return `unit ${unit} has no owner yet`;
   }
-  const otherSide = ownerSide(record.server);
+  const otherSide = sideOfOwner(record.server);
   if (otherSide !== null) {
     return `unit ${unit} belongs to side ${otherSide}: ask there`;
   }
@@ -60,7 +60,7 @@
   if (!isStoreResponding(context, leadership)) {
     return 'the platform store is not responding: the unit would have no owner until it responds';
   }
-  return startMoveWithoutTargetCheck(context, leadership, unit, sideAsOwner(side));
+  return startMoveWithoutTargetCheck(context, leadership, unit, ownerIdOfSide(side));
 }
 
 /** Starts to give a single key a unit of its own. */
@@ -81,7 +81,7 @@
   if (refusal !== null) {
     return refusal;
   }
-  const isOwnedHere = record !== undefined && ownerSide(record.server) === null;
+  const isOwnedHere = record !== undefined && sideOfOwner(record.server) === null;
   if (!isOwnedHere || record.target !== null || leadership.proposedUnits.has(baseUnit)) {
     return `the hash slot of key ${key} is moving, belongs to another side, or has no owner yet`;
   }
--- a/src/core/ownership/shard-formation.ts
+++ b/src/core/ownership/shard-formation.ts
@@ -17,7 +17,7 @@
   type ShardId,
 } from '../identifiers.js';
 import { aliveMembers } from '../membership/membership.js';
-import { emptyChange, type Form, type Member } from '../messages.js';
+import { createEmptyChange, type Form, type Member } from '../messages.js';
 import { currentReplicaId } from './shard-checkpoint.js';
 import { parseShardObject, shardObjectName, shardOfObject, type ShardObject } from './shard-object.js';
 
@@ -87,7 +87,7 @@
     const hasReplicas = (table?.generation ?? 0) > 0 && !lost;
     const waiting = context.now < (formation.retryTimes.get(shard) ?? 0);
     if (!hasReplicas && !waiting && isResponsibleForFormation(context, shard)) {
-      formation.retryTimes.set(shard, context.now + timing.storeRetry);
+      formation.retryTimes.set(shard, context.now + timing.storeRetryDelay);
       context.emit({ kind: 'readObject', name: shardObjectName(shard), afterVersion: null });
     }
   }
@@ -129,7 +129,7 @@
   const { version, value } = event.result;
   const object = version === 0 ? null : parseShardObject(value);
   if (version === 0) {
-    writeGeneration(context, shard, version, { generation: 1, index: 0, table: emptyChange() });
+    writeGeneration(context, shard, version, { generation: 1, index: 0, table: createEmptyChange() });
   } else if (object === null) {
     context.log('error', `the store object of shard ${shard} is malformed`);
   } else if (
--- a/src/core/ownership/shard-leadership.ts
+++ b/src/core/ownership/shard-leadership.ts
@@ -6,10 +6,10 @@
 import type { GroupConfiguration, ServerConfiguration } from '../configuration/routing-configuration.js';
 import type { ShardReplica } from '../consensus/shard-replica.js';
 import type { ReducerContext } from '../context.js';
-import { publishLeadership, publishTableChange } from '../dissemination/table-spread.js';
+import { announceLeadership, publishTableChange } from '../dissemination/table-propagation.js';
 import {
   groupOfShard,
-  ownerSide,
+  sideOfOwner,
   type Milliseconds,
   type ServerId,
   type UnitNumber,
@@ -92,7 +92,8 @@
   const floor = firstEpoch(replica.generation);
   const records = [...replica.table.records.values()];
   return (
-    replica.generation > 1 && records.some(({ server, epoch }) => ownerSide(server) === null && epoch < floor)
+    replica.generation > 1 &&
+    records.some(({ server, epoch }) => sideOfOwner(server) === null && epoch < floor)
   );
 }
 
@@ -116,7 +117,7 @@
   for (const unit of [...holdings.flatMap((holding) => holding.units), ...moves.map((move) => move.unit)]) {
     leadership.proposedUnits.delete(unit);
     const server = replica.table.records.get(unit)?.server;
-    if (server !== undefined && ownerSide(server) !== null) {
+    if (server !== undefined && sideOfOwner(server) !== null) {
       leadership.checkpoint.nextCallAt = context.now;
     }
     const session = server === undefined ? undefined : leadership.sessions.get(server);
@@ -129,7 +130,7 @@
   publishTableChange(context, replica, index, entry.change);
   if (!leadership.ready && entry.term === replica.term) {
     leadership.ready = true;
-    publishLeadership(context, replica);
+    announceLeadership(context, replica);
   }
 }
 
@@ -147,7 +148,7 @@
   if (session === undefined) {
     const { timing, rules } = context.state;
     const bound =
-      leadership.electedAt + (rules.waitAfterElection ? timing.serverLease + timing.driftMargin : 0);
+      leadership.electedAt + (rules.waitAfterElection ? timing.serverLease + timing.clockDriftMargin : 0);
     session = createServerSession(server, context.now, bound);
     leadership.sessions.set(server, session);
   }
--- a/src/core/ownership/shard-plan.ts
+++ b/src/core/ownership/shard-plan.ts
@@ -6,8 +6,8 @@
 import { unitsOfShard } from '../configuration/shard-layout.js';
 import { propose } from '../consensus/replication.js';
 import type { ReducerContext } from '../context.js';
-import { ownerSide, type Epoch, type UnitNumber } from '../identifiers.js';
-import { emptyChange, type Pin } from '../messages.js';
+import { sideOfOwner, type Epoch, type UnitNumber } from '../identifiers.js';
+import { createEmptyChange, type Pin } from '../messages.js';
 import { assignmentChange, type OwnershipRecord } from './ownership-table.js';
 import {
   assignToLeastLoaded,
@@ -92,13 +92,16 @@
     leadership.proposedUnits.add(unit);
   }
   context.state.counters.units_moved += moves.length;
-  const change = { ...emptyChange(), moves: moves.map(({ unit, server }) => ({ unit, target: server })) };
+  const change = {
+    ...createEmptyChange(),
+    moves: moves.map(({ unit, server }) => ({ unit, target: server })),
+  };
   propose(context, leadership.replica, change);
 }
 
 /** Returns whether every lease that an earlier generation may have renewed has expired. */
 function earlierLeasesExpired(context: ReducerContext, leadership: ShardLeadership): boolean {
-  const { serverLease, driftMargin } = context.state.timing;
+  const { serverLease, clockDriftMargin: driftMargin } = context.state.timing;
   return context.now - leadership.electedAt >= serverLease + driftMargin;
 }
 
@@ -114,7 +117,7 @@
   const { table, generation } = leadership.replica;
   const outdated = [...table.records.values()].filter(
     ({ unit, server, epoch }) =>
-      ownerSide(server) === null && epoch < firstEpoch(generation) && !leadership.proposedUnits.has(unit),
+      sideOfOwner(server) === null && epoch < firstEpoch(generation) && !leadership.proposedUnits.has(unit),
   );
   const renewed = outdated.map((record) => ({ ...record, epoch: nextEpoch(record, generation) }));
   proposeAssignments(context, leadership, renewed);
@@ -123,7 +126,7 @@
 function isReleased(context: ReducerContext, leadership: ShardLeadership, record: OwnershipRecord): boolean {
   const session = getOrCreateSession(context, leadership, record.server);
   const { rules } = context.state;
-  const leavesSide = record.target !== null && ownerSide(record.target) !== null;
+  const leavesSide = record.target !== null && sideOfOwner(record.target) !== null;
   if (record.target !== null && (!rules.waitForRevocation || (leavesSide && !rules.releaseBeforeHandOver))) {
     return true;
   }
@@ -143,7 +146,7 @@
 ): void {
   const { replica, proposedUnits: proposed } = leadership;
   const records = [...replica.table.records.values()].filter(
-    (record) => !proposed.has(record.unit) && ownerSide(record.server) === null,
+    (record) => !proposed.has(record.unit) && sideOfOwner(record.server) === null,
   );
   const candidates = placementServers(context, leadership, servers);
   const load = new UnitLoad(candidates, replica.table.records.values());
@@ -181,7 +184,8 @@
     const eligibleTarget = servers.find((server) => server.id === record.target && server.eligible);
     const server = eligibleTarget ?? load.leastLoaded();
     const epoch = nextEpoch(record, leadership.replica.generation);
-    const otherSide = record.target !== null && ownerSide(record.target) !== null ? record.target : undefined;
+    const otherSide =
+      record.target !== null && sideOfOwner(record.target) !== null ? record.target : undefined;
     return { unit: record.unit, server: otherSide ?? server?.id ?? record.server, epoch };
   });
   proposeAssignments(context, leadership, assigned);
@@ -232,7 +236,7 @@
     return;
   }
   const waited = context.now - leadership.electedAt;
-  const { firstAssignment } = context.state.timing;
+  const { firstAssignmentDelay: firstAssignment } = context.state.timing;
   const someWithoutReply = [...leadership.sessions.values()].some((session) => session.incarnation === 0);
   // Once all servers have replied, the first assignment is balanced and none of its units has to move again.
   if (
--- a/src/core/reducer.ts
+++ b/src/core/reducer.ts
@@ -1,18 +1,19 @@
 /**
- * The one reducer over all events. Deterministic: the same events at the same times from the same start
- * give the same effects. The state is changed in place; effects come back as data.
+ * The reducer that handles all events of a daemon. Deterministic: the same initial state and the same events
+ * at the same times produce the same effects. The state is changed in place; the effects are returned as
+ * data.
  */
 import * as commands from './commands/operator-commands.js';
 import { CONFIGURATION_OBJECT } from './configuration/routing-configuration.js';
 import {
-  handLeadershipOn,
+  transferLeadership,
   receiveCampaign,
   receiveVoteReply,
   receiveVoteRequest,
   tickElection,
 } from './consensus/election.js';
 import {
-  askForSnapshot,
+  requestSnapshot,
   receiveAppend,
   receiveAppendReply,
   receiveSnapshot,
@@ -21,14 +22,14 @@
 import { createShardReplica, type ShardReplica } from './consensus/shard-replica.js';
 import { ReducerContext } from './context.js';
 import type { DaemonState } from './daemon-state.js';
-import * as configurationSpread from './dissemination/configuration-spread.js';
-import { receiveTableDelta, sendMissingTables } from './dissemination/table-spread.js';
+import * as configurationSpread from './dissemination/configuration-propagation.js';
+import { receiveTableDelta, sendNewerTables } from './dissemination/table-propagation.js';
 import type { Effect } from './effects.js';
 import type { DaemonEvent, ObjectReadEvent, ObjectWrittenEvent, TimedEvent } from './events.js';
 import { replicaId, type ReplicaId } from './identifiers.js';
-import { receiveMemberSync } from './membership/member-exchange.js';
+import { receiveMemberSync } from './membership/member-sync.js';
 import * as membership from './membership/membership.js';
-import { emptyChange, type ConsensusMessage, type Envelope } from './messages.js';
+import { createEmptyChange, type ConsensusMessage, type Envelope } from './messages.js';
 import * as handOver from './ownership/hand-over.js';
 import * as checkpoint from './ownership/shard-checkpoint.js';
 import { isShardObject, shardOfObject } from './ownership/shard-object.js';
@@ -38,7 +39,7 @@
 import * as requests from './request/request-reducer.js';
 
 /**
- * Takes one event in.
+ * Applies one event to the state and returns the effects to perform.
  *
  * @example
  * const effects = reduce(state, { now: 20, event: { kind: 'tick' } });
@@ -57,7 +58,7 @@
     case 'tick':
       return tick(context);
     case 'stopping':
-      return stop(context);
+      return beginPlannedStop(context);
     case 'peerMessage':
       return receiveEnvelope(context, event.envelope);
     case 'controlReply': {
@@ -68,9 +69,9 @@
       return;
     }
     case 'objectRead':
-      return receiveObject(context, event);
+      return receiveObjectRead(context, event);
     case 'objectWritten':
-      return receiveWritten(context, event);
+      return receiveObjectWritten(context, event);
     case 'requestArrived':
       return requests.receiveRequest(context, event);
     case 'answerStarted':
@@ -86,7 +87,7 @@
 
 function tick(context: ReducerContext): void {
   membership.tickMembership(context);
-  configurationSpread.tickConfiguration(context);
+  configurationSpread.tickConfigurationWatch(context);
   formation.tickFormation(context);
   for (const replica of context.state.replicas.values()) {
     tickElection(context, replica);
@@ -102,16 +103,19 @@
   requests.tickRequests(context);
 }
 
-/** Gives up every role; requests under way go on. */
-function stop(context: ReducerContext): void {
+/**
+ * Begins a planned stop: transfers leadership where another replica can take over, and leaves the membership.
+ * Requests in flight continue.
+ */
+function beginPlannedStop(context: ReducerContext): void {
   context.state.stopping = true;
   for (const { replica } of [...context.state.leaderships.values()]) {
-    handLeadershipOn(context, replica);
+    transferLeadership(context, replica);
   }
-  membership.leave(context);
+  membership.announceLeave(context);
 }
 
-function receiveObject(context: ReducerContext, event: ObjectReadEvent): void {
+function receiveObjectRead(context: ReducerContext, event: ObjectReadEvent): void {
   if (isShardObject(event.name)) {
     const leadership = context.state.leaderships.get(shardOfObject(event.name));
     if (leadership === undefined) {
@@ -124,7 +128,7 @@
   }
 }
 
-function receiveWritten(context: ReducerContext, event: ObjectWrittenEvent): void {
+function receiveObjectWritten(context: ReducerContext, event: ObjectWrittenEvent): void {
   const leadership = isShardObject(event.name)
     ? context.state.leaderships.get(shardOfObject(event.name))
     : undefined;
@@ -140,8 +144,9 @@
 function receiveEnvelope(context: ReducerContext, envelope: Envelope): void {
   const { state } = context;
   const { recipientIncarnation, message, sender } = envelope;
-  const forAnotherLife = recipientIncarnation !== 0 && recipientIncarnation !== state.identity.incarnation;
-  if (forAnotherLife && state.rules.checkIncarnation) {
+  const forAnotherIncarnation =
+    recipientIncarnation !== 0 && recipientIncarnation !== state.identity.incarnation;
+  if (forAnotherIncarnation && state.rules.checkIncarnation) {
     state.counters.peer_messages_dropped += 1;
     return;
   }
@@ -159,9 +164,9 @@
     case 'tableDelta':
       return receiveTableDelta(context, sender, message);
     case 'tablePull':
-      return sendMissingTables(context, sender, message.versions);
+      return sendNewerTables(context, sender, message.versions);
     case 'configurationPush':
-      return configurationSpread.adoptConfiguration(context, message);
+      return configurationSpread.applyConfiguration(context, message);
     case 'configurationPull':
       return configurationSpread.receiveConfigurationPull(context, sender);
     case 'shardCommand':
@@ -173,12 +178,15 @@
     case 'handOverReply':
       return handOver.receiveHandOverReply(context, message);
     default:
-      return receiveConsensus(context, replicaId(sender, envelope.senderIncarnation), message);
+      return receiveConsensusMessage(context, replicaId(sender, envelope.senderIncarnation), message);
   }
 }
 
-/** The replica a message is for. One that joins a shard is made when the leader's first snapshot comes. */
-function replicaFor(context: ReducerContext, message: ConsensusMessage): ShardReplica | undefined {
+/**
+ * Returns the replica that a message is for. Creates the replica of a daemon new to the shard when the
+ * leader's first snapshot arrives.
+ */
+function findOrCreateReplica(context: ReducerContext, message: ConsensusMessage): ShardReplica | undefined {
   const { replicas } = context.state;
   const known = replicas.get(message.shard);
   const generation = known?.generation ?? 0;
@@ -189,7 +197,7 @@
       message.generation,
       self,
       message.replicas,
-      emptyChange(),
+      createEmptyChange(),
     );
     replicas.set(message.shard, created);
     return created;
@@ -197,11 +205,15 @@
   return generation === message.generation ? known : undefined;
 }
 
-function receiveConsensus(context: ReducerContext, sender: ReplicaId, message: ConsensusMessage): void {
-  const replica = replicaFor(context, message);
+function receiveConsensusMessage(
+  context: ReducerContext,
+  sender: ReplicaId,
+  message: ConsensusMessage,
+): void {
+  const replica = findOrCreateReplica(context, message);
   if (replica === undefined) {
     if (message.kind === 'append') {
-      askForSnapshot(context, sender, message);
+      requestSnapshot(context, sender, message);
     }
     return;
   }
--- a/src/core/request/request-destination.ts
+++ b/src/core/request/request-destination.ts
@@ -6,7 +6,7 @@
 import { shardOfUnit } from '../configuration/shard-layout.js';
 import type { ReducerContext } from '../context.js';
 import type { FencingToken } from '../effects.js';
-import { ownerSide, sideAsOwner, type ServerId } from '../identifiers.js';
+import { sideOfOwner, ownerIdOfSide, type ServerId } from '../identifiers.js';
 import { aliveMembers } from '../membership/membership.js';
 import { unitOfKey } from '../routing/key-unit.js';
 import { inFlightLimit } from './admission.js';
@@ -48,7 +48,7 @@
     return `side ${side} is not in the configuration`;
   }
   return {
-    id: sideAsOwner(side),
+    id: ownerIdOfSide(side),
     address,
     limit: MAXIMUM_IN_FLIGHT_TO_OTHER_SIDE,
     token: null,
@@ -66,7 +66,7 @@
   const unit = unitOfKey(tables, group, key);
   request.unit = unit;
   const record = tables.shards.get(shardOfUnit(group, unit))?.table.records.get(unit);
-  const side = record === undefined ? group.home : (ownerSide(record.server) ?? undefined);
+  const side = record === undefined ? group.home : (sideOfOwner(record.server) ?? undefined);
   if (side !== undefined && side !== identity.side) {
     return otherSideDestination(context, request, side);
   }
--- a/src/core/timing.ts
+++ b/src/core/timing.ts
@@ -1,58 +1,65 @@
 /**
- * The time constants of the control plane. Together they carry the promise that a key is served again
- * within 2 s of a loss: see docs/design/leases.md for the sum.
+ * The time constants of the control plane. Together they ensure that a key is served again within 2 s of a
+ * loss: docs/design/leases.md gives the sum.
  */
 import type { Milliseconds } from './identifiers.js';
 
-/** Every duration the reducer uses, in milliseconds. */
+/** The durations that the reducer uses, in milliseconds. */
 export interface Timing {
-  /** How often the runtime sends a `tick`. */
+  /** The interval between two `tick` events. */
   readonly tick: Milliseconds;
-  /** Between two pings of the membership protocol. */
+  /** The interval between two pings of the membership protocol. */
   readonly pingInterval: Milliseconds;
-  /** Unanswered pings turn indirect after this long. */
+  /**
+   * The time without an acknowledgement after which other members are asked to ping the target (an indirect
+   * ping).
+   */
   readonly pingTimeout: Milliseconds;
-  /** A suspected member is declared dead after this long. */
-  readonly suspicion: Milliseconds;
-  /** A leader's heartbeat to the followers of its shard. */
+  /** The time after which a suspected member is declared dead. */
+  readonly suspicionTimeout: Milliseconds;
+  /** The interval between a leader's heartbeats to the followers of its shard. */
   readonly heartbeat: Milliseconds;
-  /** Shortest silence after which a follower stands for election. */
-  readonly electionMinimum: Milliseconds;
-  /** Added to the shortest silence, times a random number in [0, 1). */
-  readonly electionSpread: Milliseconds;
-  /** How long a server's lease lasts on the server's own clock. */
+  /** The shortest time without leader contact after which a follower starts an election. */
+  readonly minElectionTimeout: Milliseconds;
+  /** Added to the minimum election timeout after multiplication by a random number in [0, 1). */
+  readonly electionTimeoutJitter: Milliseconds;
+  /** The duration of a server's lease, on the server's own clock. */
   readonly serverLease: Milliseconds;
-  /** Between two renewals of a server's lease. */
-  readonly renewInterval: Milliseconds;
-  /** A control call without an answer is given up after this long. */
+  /** The interval between two renewals of a server's lease. */
+  readonly leaseRenewalInterval: Milliseconds;
+  /** The timeout of a control call to a server. */
   readonly controlTimeout: Milliseconds;
-  /** Added to the lease before a silent server's units go elsewhere: covers clock drift. */
-  readonly driftMargin: Milliseconds;
-  /** A replica silent for this long, and not alive by membership, is replaced. */
-  readonly replicaReplacement: Milliseconds;
-  /** A new shard leader waits this long for servers to report before the first assignment. */
-  readonly firstAssignment: Milliseconds;
-  /** Between two looks at the balance of a shard. */
+  /**
+   * Added to the lease duration before an unresponsive server's units are reassigned, to cover clock drift.
+   */
+  readonly clockDriftMargin: Milliseconds;
+  /**
+   * The time without a reply after which a replica is replaced if the membership does not list it as alive.
+   */
+  readonly replicaReplacementDelay: Milliseconds;
+  /** The time that a new shard leader waits for reports from servers before it first assigns units. */
+  readonly firstAssignmentDelay: Milliseconds;
+  /** The interval between two checks of the balance of a shard. */
   readonly rebalanceInterval: Milliseconds;
-  /** Between two tries to reach the platform's store. */
-  readonly storeRetry: Milliseconds;
+  /** The delay before the next call to the store after a failed one. */
+  readonly storeRetryDelay: Milliseconds;
 }
 
-/** The values that ship. */
+/** The durations used in production. */
 export const DEFAULT_TIMING: Timing = {
   tick: 20,
   pingInterval: 1_000,
   pingTimeout: 300,
-  suspicion: 3_000,
+  suspicionTimeout: 3_000,
   heartbeat: 150,
-  electionMinimum: 350,
-  electionSpread: 200,
+  minElectionTimeout: 350,
+  electionTimeoutJitter: 200,
   serverLease: 1_000,
-  renewInterval: 300,
+  leaseRenewalInterval: 300,
   controlTimeout: 250,
-  driftMargin: 50,
-  replicaReplacement: 2_000,
-  firstAssignment: 600,
+  clockDriftMargin: 50,
+  replicaReplacementDelay: 2_000,
+  firstAssignmentDelay: 600,
   rebalanceInterval: 1_000,
-  storeRetry: 1_000,
+  storeRetryDelay: 1_000,
 };
--- a/src/load/key-sampler.ts
+++ b/src/load/key-sampler.ts
@@ -20,7 +20,7 @@
 
   /** Shifts the ranks by a random offset, so that other keys become the most popular ones. */
   changeHotKeys(): void {
-    this.#rankOffset = this.#random.below(this.#cumulativeWeights.length);
+    this.#rankOffset = this.#random.integerBelow(this.#cumulativeWeights.length);
   }
 
   /** Returns a random key. */
--- a/src/simulation/operator-faults.ts
+++ b/src/simulation/operator-faults.ts
@@ -17,7 +17,7 @@
   if (group === undefined) {
     return;
   }
-  const unit = world.random.below(group.slots);
+  const unit = world.random.integerBelow(group.slots);
   for (let operator = 0; operator < 2; operator += 1) {
     const daemon = world.random.pick(working);
     const target = world.random.pick(group.servers);
--- a/src/simulation/run.ts
+++ b/src/simulation/run.ts
@@ -89,7 +89,7 @@
   let crashes = 0;
   for (const kind of scenario.faults) {
     const isCrash = CRASHES.has(kind);
-    const wanted = 1 + random.below(MOST_FAULTS_OF_A_KIND);
+    const wanted = 1 + random.integerBelow(MOST_FAULTS_OF_A_KIND);
     const count = isCrash ? Math.min(wanted, CRASHES_OF_A_RUN - crashes) : wanted;
     crashes += isCrash ? Math.max(0, count) : 0;
     for (let index = 0; index < count; index += 1) {
--- a/src/simulation/two-sides.ts
+++ b/src/simulation/two-sides.ts
@@ -76,7 +76,7 @@
     );
     const [other] = daemon?.state.configuration.configuration?.sides ?? [];
     if (daemon !== undefined && group !== undefined && other !== undefined) {
-      const unit = world.random.below(group.slots);
+      const unit = world.random.integerBelow(group.slots);
       world.command(daemon, { action: 'handOver', group: group.name, unit, target: other.name });
     }
     world.scheduler.after(HAND_OVER_INTERVAL, next);
--- a/src/simulation/workload.ts
+++ b/src/simulation/workload.ts
@@ -20,7 +20,7 @@
     }
     const route = world.random.pick(configuration.routes);
     if (route !== undefined) {
-      const path = route.path.replace(/:\w+/, `key-${world.random.below(KEYS)}`).replace('*', 'item');
+      const path = route.path.replace(/:\w+/, `key-${world.random.integerBelow(KEYS)}`).replace('*', 'item');
       world.call({ method: route.methods[0] ?? 'GET', path, repeatable: route.repeatable });
     }
     const mean = 1_000 / requestsPerSecond;
--- a/test/core/consensus/test-replicated-log.ts
+++ b/test/core/consensus/test-replicated-log.ts
@@ -1,14 +1,14 @@
 import { expect } from 'earl';
 import { describe, it } from 'node:test';
 import { ReplicatedLog } from '../../../src/core/consensus/replicated-log.js';
-import { emptyChange, type LogEntry } from '../../../src/core/messages.js';
+import { createEmptyChange, type LogEntry } from '../../../src/core/messages.js';
 
 function entry(term: number, replicas: string[] = []): LogEntry {
-  return { term, change: emptyChange(), replicas };
+  return { term, change: createEmptyChange(), replicas };
 }
 
 describe('replicated log', () => {
-  it('takes a truncated replica set back', () => {
+  it('restores the previous replica set when the entry that changed it is truncated', () => {
     const log = new ReplicatedLog(0, 0, ['a#1', 'b#1']);
     log.append(entry(1));
     log.append(entry(1, ['a#1']));
@@ -17,7 +17,7 @@
     expect([log.replicas, log.lastIndex, log.lastTerm]).toEqual([['a#1', 'b#1'], 1, 1]);
   });
 
-  it('keeps terms and replica sets through compaction', () => {
+  it('keeps the terms and replica sets of compacted entries', () => {
     const log = new ReplicatedLog(0, 0, ['a#1']);
     [entry(1), entry(1, ['a#1', 'b#1']), entry(2), entry(3)].forEach((each) => log.append(each));
     log.compactTo(3);
--- a/test/router/ownership/test-suspension.ts
+++ b/test/router/ownership/test-suspension.ts
@@ -29,7 +29,7 @@
   const sendRequests = (): void => {
     const hot = 7 + 512 * ((Math.floor(world.clock.now / 2_000) * 31) % 128);
     for (let count = 0; count < 6; count += 1) {
-      const cold = CHECKED_KEYS[world.random.below(CHECKED_KEYS.length)] as number;
+      const cold = CHECKED_KEYS[world.random.integerBelow(CHECKED_KEYS.length)] as number;
       world.countKeyRequests([world.random.fraction() < 0.6 ? hot : cold]);
     }
     world.clock.schedule(50, sendRequests);
--- a/test/router/quarantine/test-quarantine-properties.ts
+++ b/test/router/quarantine/test-quarantine-properties.ts
@@ -24,7 +24,7 @@
 }
 
 function randomDaemon({ world }: Simulation): SimulatedDaemon {
-  return world.daemons[world.random.below(world.daemons.length)] as SimulatedDaemon;
+  return world.daemons[world.random.integerBelow(world.daemons.length)] as SimulatedDaemon;
 }
 
 /** Runs an action at random times, with the given mean interval. */
@@ -49,7 +49,7 @@
   const traffic = new RequestTraffic(world, 8);
   const simulation = { world, traffic, lastFaultAt: new Map<SimulatedDaemon, number>(), lastStoreFaultAt: 0 };
   repeatAtRandom(simulation, 25, SETTLING_TIME, RUN_TIME, () => {
-    const index = world.random.below(10_000);
+    const index = world.random.integerBelow(10_000);
     const route = world.random.fraction() < 0.5 ? KEYED : BALANCED_SERVICE;
     traffic.sendRequest(randomDaemon(simulation), { name: `r${index}`, route, key: 7 + 512 * (index % 128) });
   });
@@ -183,7 +183,7 @@
 const SERVER_FAULTS: Readonly<Record<string, (simulation: Simulation) => void>> = {
   crashes: ({ world, traffic }) => {
     const alive = world.servers.filter((server) => server.alive);
-    traffic.crash(alive[world.random.below(alive.length)] as (typeof alive)[number]);
+    traffic.crash(alive[world.random.integerBelow(alive.length)] as (typeof alive)[number]);
   },
   'a share of all servers at once': ({ world, traffic }) => {
     const alive = world.servers.filter((server) => server.alive);
@@ -195,7 +195,7 @@
   },
   'draining servers': ({ world, traffic }) => {
     const alive = world.servers.filter((server) => server.alive);
-    const draining = alive[world.random.below(alive.length)] as (typeof alive)[number];
+    const draining = alive[world.random.integerBelow(alive.length)] as (typeof alive)[number];
     world.drain(draining.id);
     world.clock.schedule(2_500, () => traffic.crash(draining));
   },
--- a/test/router/quarantine/test-query-of-death.ts
+++ b/test/router/quarantine/test-query-of-death.ts
@@ -32,9 +32,9 @@
 
 function startOrdinaryTraffic(world: RouterSimulation, traffic: RequestTraffic): void {
   const next = (): void => {
-    const index = world.random.below(10_000);
+    const index = world.random.integerBelow(10_000);
     const route = world.random.fraction() < 0.5 ? KEYED : BALANCED_SERVICE;
-    const daemon = world.daemons[world.random.below(world.daemons.length)];
+    const daemon = world.daemons[world.random.integerBelow(world.daemons.length)];
     if (daemon !== undefined) {
       traffic.sendRequest(daemon, { name: `r${index}`, route, key: 7 + 512 * (index % 128) });
     }
@@ -47,7 +47,7 @@
 function startDeadlyCaller(world: RouterSimulation, traffic: RequestTraffic, request: NamedRequest): void {
   traffic.crashingRequests.add(request.name);
   const next = (): void => {
-    const daemon = world.daemons[world.random.below(world.daemons.length)];
+    const daemon = world.daemons[world.random.integerBelow(world.daemons.length)];
     if (daemon !== undefined) {
       traffic.sendRequest(daemon, request);
     }
--- a/test/router/request/test-admission-window.ts
+++ b/test/router/request/test-admission-window.ts
@@ -44,7 +44,7 @@
     }
     running.splice(0, running.length, ...running.filter(({ endsAt }) => endsAt > now));
     if (random.fraction() < (requestsPerSecond * STEP_MILLISECONDS) / 1_000) {
-      const daemon = random.below(daemons);
+      const daemon = random.integerBelow(daemons);
       const window = windows[daemon];
       if (window?.allows(inFlight[daemon] ?? 0, now) === true && waiting.length >= queue) {
         counts.shed += 1;
--- a/test/router/test-ownership-simulation.ts
+++ b/test/router/test-ownership-simulation.ts
@@ -8,7 +8,7 @@
   const sendRequests = (): void => {
     const hotKey = 7 + 512 * ((Math.floor(simulation.clock.now / 3_000) * 31) % 128);
     for (let count = 0; count < 6; count += 1) {
-      const randomKey = CHECKED_KEYS[simulation.random.below(CHECKED_KEYS.length)] as number;
+      const randomKey = CHECKED_KEYS[simulation.random.integerBelow(CHECKED_KEYS.length)] as number;
       simulation.countKeyRequests([simulation.random.fraction() < 0.5 ? hotKey : randomKey]);
     }
     simulation.clock.schedule(50, sendRequests);
@@ -18,7 +18,7 @@
 
 function crashServer(simulation: RouterSimulation): void {
   const alive = simulation.servers.filter((server) => server.alive);
-  const victim = alive[simulation.random.below(alive.length)];
+  const victim = alive[simulation.random.integerBelow(alive.length)];
   if (victim === undefined || alive.length < 3) {
     return;
   }
@@ -65,7 +65,7 @@
 
 function drainServer(simulation: RouterSimulation): void {
   const alive = simulation.servers.filter((server) => server.alive);
-  const victim = alive[simulation.random.below(alive.length)];
+  const victim = alive[simulation.random.integerBelow(alive.length)];
   if (victim !== undefined && alive.length > 3) {
     simulation.drain(victim.id);
     simulation.clock.schedule(6_000, () => {
--- a/test/runtime/test-request-bridge.ts
+++ b/test/runtime/test-request-bridge.ts
@@ -18,13 +18,13 @@
   return started;
 }
 
-/** A bridge behind a front, with what it tells the reducer. */
+/** Creates a bridge behind an HTTP server, with access to the events that it dispatches to the reducer. */
 async function createBridge(): Promise<{
   bridge: RequestBridge;
   front: TestServer;
-  next: <Kind extends DaemonEvent['kind']>(kind: Kind) => Promise<Extract<DaemonEvent, { kind: Kind }>>;
-  /** Waits until the request for a path arrives. */
-  nextFrom: (path: string) => Promise<void>;
+  nextEvent: <Kind extends DaemonEvent['kind']>(kind: Kind) => Promise<Extract<DaemonEvent, { kind: Kind }>>;
+  /** Waits until a request for the path arrives. */
+  waitForRequest: (path: string) => Promise<void>;
 }> {
   const events: DaemonEvent[] = [];
   const waiting = new Set<() => void>();
@@ -36,7 +36,7 @@
   };
   const bridge = new RequestBridge(client, dispatch, () => 0);
   const front = await server((incoming, outgoing) => void bridge.receive(incoming, outgoing, 1_000_000));
-  const next = async <Kind extends DaemonEvent['kind']>(
+  const nextEvent = async <Kind extends DaemonEvent['kind']>(
     kind: Kind,
   ): Promise<Extract<DaemonEvent, { kind: Kind }>> => {
     for (;;) {
@@ -53,10 +53,10 @@
       });
     }
   };
-  const nextFrom = async (path: string): Promise<void> => {
-    while ((await next('requestArrived')).path !== path);
+  const waitForRequest = async (path: string): Promise<void> => {
+    while ((await nextEvent('requestArrived')).path !== path);
   };
-  return { bridge, front, next, nextFrom };
+  return { bridge, front, nextEvent, waitForRequest };
 }
 
 function forwardTo(arrived: RequestArrivedEvent, attempt: number, address: string): ForwardEffect {
@@ -72,23 +72,23 @@
     clients.splice(0).forEach((client) => client.close());
   });
 
-  it('can send a request again after an attempt was cancelled', async () => {
-    const { bridge, front, next } = await createBridge();
-    const frozen = await server(() => undefined);
+  it('can retry a request after an attempt was cancelled', async () => {
+    const { bridge, front, nextEvent } = await createBridge();
+    const unresponsive = await server(() => undefined);
     const good = await server((_, response) => response.end('whole'));
     const answer = request(`http://${front.address}/k/a`, { method: 'GET' });
     answer.catch(() => undefined);
-    const arrived = await next('requestArrived');
-    void bridge.forward(forwardTo(arrived, 1, frozen.address));
+    const arrived = await nextEvent('requestArrived');
+    void bridge.forward(forwardTo(arrived, 1, unresponsive.address));
     bridge.cancel({ kind: 'cancel', requestId: arrived.requestId, attempt: 1 });
-    expect((await next('attemptEnded')).result.kind).toEqual('lost');
+    expect((await nextEvent('attemptEnded')).result.kind).toEqual('lost');
     void bridge.forward(forwardTo(arrived, 2, good.address));
-    expect((await next('attemptEnded')).result.kind).toEqual('answered');
+    expect((await nextEvent('attemptEnded')).result.kind).toEqual('answered');
     expect(await (await answer).body.text()).toEqual('whole');
   });
 
-  it('passes the fencing token on and lets no caller forge one', async () => {
-    const { bridge, front, next } = await createBridge();
+  it('forwards the fencing token and drops one that a caller sends', async () => {
+    const { bridge, front, nextEvent } = await createBridge();
     let seen: unknown;
     const good = await server((incoming, response) => {
       seen = [
@@ -100,20 +100,20 @@
     });
     const headers = { 'fennelferry-epoch': '99', 'fennelferry-extra': '1', 'x-own': 'kept' };
     const answer = request(`http://${front.address}/k/a`, { method: 'GET', headers });
-    void bridge.forward(forwardTo(await next('requestArrived'), 1, good.address));
+    void bridge.forward(forwardTo(await nextEvent('requestArrived'), 1, good.address));
     await (await answer).body.dump();
     expect(seen).toEqual(['7', '1', 'kept']);
   });
 
-  it('breaks the connection of a truncated answer', async () => {
-    const { bridge, front, next } = await createBridge();
-    const cutting = await server((_, response) => {
+  it("closes the caller's connection when a response is truncated", async () => {
+    const { bridge, front, nextEvent } = await createBridge();
+    const truncating = await server((_, response) => {
       response.writeHead(200, { 'content-length': '100' });
       response.write('half', () => response.destroy());
     });
     const answer = request(`http://${front.address}/k/a`, { method: 'GET' });
-    void bridge.forward(forwardTo(await next('requestArrived'), 1, cutting.address));
-    const ended: AttemptEndedEvent = await next('attemptEnded');
+    void bridge.forward(forwardTo(await nextEvent('requestArrived'), 1, truncating.address));
+    const ended: AttemptEndedEvent = await nextEvent('attemptEnded');
     expect(ended.result).toEqual({ kind: 'lost', reason: expect.a(String), answerStarted: true });
     const text = await (await answer).body.text().catch(() => 'broken');
     expect(text).toEqual('broken');
@@ -121,24 +121,24 @@
 
   for (const [name, listener, expected] of [
     [
-      'a reset before the answer',
+      'a connection reset before the response',
       (request: { socket: { resetAndDestroy(): void } }) => request.socket.resetAndDestroy(),
       'lost',
     ],
     [
-      'a refusal by the server',
+      'a rejection by the server',
       (_: unknown, response: { writeHead(status: number, headers: object): { end(): void } }) =>
         response.writeHead(409, { 'fennelferry-refused': 'not-owner' }).end(),
       'refused',
     ],
   ] as const) {
-    it(`says ${expected} after ${name}`, async () => {
-      const { bridge, front, next } = await createBridge();
+    it(`reports ${expected} after ${name}`, async () => {
+      const { bridge, front, nextEvent } = await createBridge();
       const failing = await server(listener as Parameters<typeof startServer>[0]);
       const answer = request(`http://${front.address}/k/a`, { method: 'GET' }).catch(() => undefined);
-      const arrived = await next('requestArrived');
+      const arrived = await nextEvent('requestArrived');
       void bridge.forward(forwardTo(arrived, 1, failing.address));
-      expect((await next('attemptEnded')).result.kind).toEqual(expected);
+      expect((await nextEvent('attemptEnded')).result.kind).toEqual(expected);
       const { requestId } = arrived;
       bridge.answer({
         kind: 'answer',
@@ -153,49 +153,50 @@
     });
   }
 
-  it('says notSent when no connection stood', async () => {
-    const { bridge, front, next } = await createBridge();
+  it('reports notSent when no connection was established', async () => {
+    const { bridge, front, nextEvent } = await createBridge();
     const gone = await startServer(() => undefined);
     stopServers(gone);
     const answer = request(`http://${front.address}/k/a`, { method: 'GET' }).catch(() => undefined);
-    void bridge.forward(forwardTo(await next('requestArrived'), 1, gone.address));
-    expect((await next('attemptEnded')).result.kind).toEqual('notSent');
+    void bridge.forward(forwardTo(await nextEvent('requestArrived'), 1, gone.address));
+    expect((await nextEvent('attemptEnded')).result.kind).toEqual('notSent');
     stopServers(front);
     await answer;
   });
 
-  it('tells the reducer when the caller goes away', async () => {
-    const { front, next } = await createBridge();
+  it('notifies the reducer when the caller disconnects', async () => {
+    const { front, nextEvent } = await createBridge();
     const abort = new AbortController();
     const answer = request(`http://${front.address}/k/a`, { method: 'GET', signal: abort.signal }).catch(
       () => undefined,
     );
-    const { requestId } = await next('requestArrived');
+    const { requestId } = await nextEvent('requestArrived');
     abort.abort();
-    expect((await next('callerLeft')).requestId).toEqual(requestId);
+    expect((await nextEvent('callerLeft')).requestId).toEqual(requestId);
     await answer;
   });
 
   for (const leave of ['reset', 'close'] as const) {
-    it(`outlives a caller that leaves by a ${leave} while its body goes on to a server`, async () => {
-      const { bridge, front, next, nextFrom } = await createBridge();
-      const frozen = await server((incoming) => void incoming.resume());
+    it(`keeps running when a caller disconnects by a ${leave} while its body is forwarded to a server`, async () => {
+      const { bridge, front, nextEvent, waitForRequest } = await createBridge();
+      const unresponsive = await server((incoming) => void incoming.resume());
       const [host, port] = front.address.split(':');
       const half = 'POST /k/a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nabcde\r\n';
-      const forwarded = next('requestArrived').then((arrived) => {
-        void bridge.forward(forwardTo(arrived, 1, frozen.address));
-        return once(frozen.server, 'request');
+      const forwarded = nextEvent('requestArrived').then((arrived) => {
+        void bridge.forward(forwardTo(arrived, 1, unresponsive.address));
+        return once(unresponsive.server, 'request');
       });
-      await sendAndLeave(Number(port), host as string, half, leave, forwarded);
-      await next('callerLeft');
+      await sendAndDisconnect(Number(port), host as string, half, leave, forwarded);
+      await nextEvent('callerLeft');
       const later = request(`http://${front.address}/k/later`).catch(() => undefined);
-      await nextFrom('/k/later');
+      await waitForRequest('/k/later');
       stopServers(front);
       await later;
     });
   }
 
-  // Seen once in the demonstration: a caller that left in the middle of its body ended the daemon with `aborted`.
+  // A caller that disconnects in the middle of its body causes an `aborted` error on the request. Without an
+  // error listener, that error ended the daemon's process.
   for (const [name, sent] of [
     ['half of a short body', 'POST /k/a HTTP/1.1\r\nHost: h\r\nContent-Length: 4000\r\n\r\nhalf'],
     [
@@ -204,23 +205,23 @@
     ],
     ['half of a chunked body', 'POST /k/a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n5\r\nab'],
     ['a bad chunk', 'POST /k/a HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\nzz\r\nab'],
-    ['a header that is too long', `GET /k/a HTTP/1.1\r\nHost: h\r\nX-Long: ${'y'.repeat(40_000)}`],
-    ['half of a head', 'POST /k/a HT'],
+    ['a header above the size limit', `GET /k/a HTTP/1.1\r\nHost: h\r\nX-Long: ${'y'.repeat(40_000)}`],
+    ['half of a request head', 'POST /k/a HT'],
   ] as const) {
     for (const leave of ['reset', 'close'] as const) {
-      it(`outlives a caller that sends ${name}, then leaves by a ${leave}`, async () => {
-        const { front, nextFrom } = await createBridge();
+      it(`keeps running when a caller sends ${name} and disconnects by a ${leave}`, async () => {
+        const { front, waitForRequest } = await createBridge();
         const [host, port] = front.address.split(':');
-        for (let caller = 0; caller < CALLERS_THAT_LEAVE; caller += 1) {
-          // A head that is not whole, or too long, never becomes a request.
-          const taken = once(front.server, isHead(sent) ? 'request' : 'connection');
-          await sendAndLeave(Number(port), host as string, sent, leave, taken);
+        for (let caller = 0; caller < DISCONNECTING_CALLERS; caller += 1) {
+          // An incomplete or oversized request head never becomes a request event.
+          const received = once(front.server, hasCompleteHead(sent) ? 'request' : 'connection');
+          await sendAndDisconnect(Number(port), host as string, sent, leave, received);
         }
         const abort = new AbortController();
         const later = request(`http://${front.address}/k/later`, { signal: abort.signal }).catch(
           () => undefined,
         );
-        await nextFrom('/k/later');
+        await waitForRequest('/k/later');
         abort.abort();
         await later;
       });
@@ -228,26 +229,26 @@
   }
 });
 
-const CALLERS_THAT_LEAVE = 5;
-const LONGEST_HEAD = 16_384;
+const DISCONNECTING_CALLERS = 5;
+const MAX_HEAD_BYTES = 16_384;
 
-function isHead(bytes: string): boolean {
+function hasCompleteHead(bytes: string): boolean {
   const end = bytes.indexOf('\r\n\r\n');
-  return end >= 0 && end < LONGEST_HEAD;
+  return end >= 0 && end < MAX_HEAD_BYTES;
 }
 
-/** Sends bytes, waits until they are taken, and leaves. */
-async function sendAndLeave(
+/** Sends bytes, waits for the promise that the receiver has got them, and closes the connection. */
+async function sendAndDisconnect(
   port: number,
   host: string,
   bytes: string,
   leave: 'reset' | 'close',
-  taken: Promise<unknown>,
+  received: Promise<unknown>,
 ): Promise<void> {
   const socket = connect(port, host);
   socket.on('error', () => undefined);
   socket.write(bytes);
-  await taken;
+  await received;
   const closed = new Promise<void>((resolve) => socket.once('close', () => resolve()));
   if (leave === 'reset') {
     socket.resetAndDestroy();
--- a/test/support/daemon-fixture.ts
+++ b/test/support/daemon-fixture.ts
@@ -1,6 +1,6 @@
 /** Daemon state with a configuration and an ownership table in force, for tests of the reducer. */
 import { createDaemonState, type DaemonState } from '../../src/core/daemon-state.js';
-import { shardTableOf } from '../../src/core/dissemination/table-view.js';
+import { getOrCreateShardTable } from '../../src/core/dissemination/table-view.js';
 import { validateRoutingConfiguration } from '../../src/core/configuration/routing-configuration.js';
 import { putInForce } from '../../src/core/configuration/configuration-state.js';
 import type { Effect } from '../../src/core/effects.js';
@@ -68,7 +68,7 @@
     };
     this.state = createDaemonState(identity, rules);
     putInForce(this.state.configuration, 1, JSON.stringify(CONFIGURATION), CONFIGURATION);
-    const shardTable = shardTableOf(this.state.tables, 'keyed/0');
+    const shardTable = getOrCreateShardTable(this.state.tables, 'keyed/0');
     shardTable.generation = 1;
     shardTable.version = 1;
     const units = [0, 1, 2, 3].map((unit) => ({ unit, server: 'keyed-1', epoch: 7 }));
