--- a/src/demo/main.ts
+++ b/src/demo/main.ts
@@ -1,7 +1,7 @@
 /**
- * The demonstration: three daemons, the store and the servers of one user as separate processes on
- * loopback, under traffic, while things move and fail. A launcher beside the product: the product itself
- * starts no process. `--keep` leaves everything up for use by hand.
+ * The demonstration: runs three daemons, the store and the servers of one system as separate processes on
+ * loopback, under traffic, while units move and processes fail. The launcher is separate from the daemon,
+ * which itself starts no processes. `--keep` leaves all processes running for manual use.
  */
 import { mkdtempSync, rmSync, writeFileSync } from 'node:fs';
 import { tmpdir } from 'node:os';
@@ -19,7 +19,7 @@
 const KEYS = 20;
 const READY_PATIENCE_MILLISECONDS = 15_000;
 const STEP_MILLISECONDS = 2_500;
-/** Unavailable time that the users allow after a loss. */
+/** Longest time for which a key may be unavailable after a loss. */
 const ALLOWED_UNAVAILABLE_MILLISECONDS = 2_000;
 
 const system = systemNamed('klang-valley');
@@ -41,10 +41,16 @@
 
 async function chooseAddresses(): Promise<Addresses> {
   const base = await findFreePorts(serverCount + 1 + DAEMONS * 3);
-  const own = base + serverCount;
-  const row = (offset: number): string[] =>
-    Array.from({ length: DAEMONS }, (_, index) => `127.0.0.1:${own + 1 + offset * DAEMONS + index}`);
-  return { store: `127.0.0.1:${own}`, serverPorts: base, http: row(0), admin: row(1), internal: row(2) };
+  const storePort = base + serverCount;
+  const daemonAddresses = (offset: number): string[] =>
+    Array.from({ length: DAEMONS }, (_, index) => `127.0.0.1:${storePort + 1 + offset * DAEMONS + index}`);
+  return {
+    store: `127.0.0.1:${storePort}`,
+    serverPorts: base,
+    http: daemonAddresses(0),
+    admin: daemonAddresses(1),
+    internal: daemonAddresses(2),
+  };
 }
 
 function startDaemon(addresses: Addresses, index: number): void {
@@ -95,15 +101,15 @@
 }
 
 async function waitUntilReady(addresses: Addresses): Promise<void> {
-  const giveUpAt = performance.now() + READY_PATIENCE_MILLISECONDS;
-  while (performance.now() < giveUpAt) {
+  const deadline = performance.now() + READY_PATIENCE_MILLISECONDS;
+  while (performance.now() < deadline) {
     const ready = await Promise.all(addresses.admin.map(isReady));
     if (ready.every(Boolean)) {
       return;
     }
     await sleep(50);
   }
-  throw new Error('the daemons did not get ready in time');
+  throw new Error('timed out waiting for the daemons to become ready');
 }
 
 async function say(admin: string, statement: string): Promise<string> {
@@ -133,41 +139,41 @@
 async function play(addresses: Addresses): Promise<void> {
   const [admin = ''] = addresses.admin;
   const last = addresses.admin.at(-1) ?? admin;
-  print(`\n1. A hot key moves`);
+  print(`\n1. Moving a hot key`);
   const target = (await ownerOf(admin, 'rack-1')) === 'rakstatus-02' ? 'rakstatus-03' : 'rakstatus-02';
   print(await say(last, `move key 'rack-1' in rakstatus to ${target}`));
   await sleep(STEP_MILLISECONDS);
   print(await say(admin, "show owner of key 'rack-1' in rakstatus"));
 
-  print('\n2. A server is drained');
+  print('\n2. Draining a server');
   print(await say(admin, 'drain rakstatus-05'));
   await sleep(STEP_MILLISECONDS);
-  print(`units left on it: ${await say(last, 'show units of rakstatus-05')}`);
+  print(`units left on rakstatus-05: ${await say(last, 'show units of rakstatus-05')}`);
 
   const frozen = await ownerOf(admin, 'rack-2');
-  print(`\n3. The owner of rack-2, ${frozen}, freezes and returns`);
+  print(`\n3. Freezing and resuming ${frozen}, the owner of rack-2`);
   processes.signal(frozen, 'SIGSTOP');
   await sleep(STEP_MILLISECONDS);
-  print(`rack-2 is owned by ${await ownerOf(admin, 'rack-2')} now`);
+  print(`rack-2 is now owned by ${await ownerOf(admin, 'rack-2')}`);
   processes.signal(frozen, 'SIGCONT');
   await sleep(STEP_MILLISECONDS);
 
-  print('\n4. A daemon is killed and replaced');
+  print('\n4. Killing and replacing a daemon');
   processes.signal('daemon-2', 'SIGKILL');
   await sleep(STEP_MILLISECONDS);
   startDaemon(addresses, 2);
   await sleep(STEP_MILLISECONDS);
   print(await say(admin, 'show shards'));
 
-  print("\n5. The platform's store is down");
+  print("\n5. Making the platform's store unavailable");
   await setStoreFault(addresses, 'down');
-  print(`a change of configuration: ${await say(admin, 'undrain rakstatus-05')}`);
-  print(`a move: ${await say(admin, "move key 'rack-3' in rakstatus to rakstatus-07")}`);
+  print(`configuration change: ${await say(admin, 'undrain rakstatus-05')}`);
+  print(`move: ${await say(admin, "move key 'rack-3' in rakstatus to rakstatus-07")}`);
   await sleep(STEP_MILLISECONDS);
   await setStoreFault(addresses, 'none');
 }
 
-/** How often each request ran, over all servers. */
+/** Returns how often each request ran, summed over all servers. */
 async function readRuns(addresses: Addresses): Promise<Map<string, number>> {
   const runs = new Map<string, number>();
   for (let index = 0; index < serverCount; index += 1) {
@@ -181,16 +187,20 @@
 }
 
 function report(traffic: Traffic, runs: ReadonlyMap<string, number>): boolean {
-  const twice = traffic.records.filter((record) => !record.repeatable && (runs.get(record.id) ?? 0) > 1);
-  const liedTo = traffic.records.filter((record) => record.outcome === 'not-run' && runs.has(record.id));
-  const unmet = traffic.records.filter((record) => record.outcome === 'answered' && !runs.has(record.id));
+  const repeated = traffic.records.filter((record) => !record.repeatable && (runs.get(record.id) ?? 0) > 1);
+  const falselyNotRun = traffic.records.filter(
+    (record) => record.outcome === 'not-run' && runs.has(record.id),
+  );
+  const answeredWithoutRun = traffic.records.filter(
+    (record) => record.outcome === 'answered' && !runs.has(record.id),
+  );
   const longest = traffic.longestUnavailable();
   const checks: [string, boolean][] = [
-    ['not-run requests that ran', liedTo.length === 0],
-    ['unrepeatable requests that ran twice', twice.length === 0],
-    ['answers to requests that did not run', unmet.length === 0],
+    ['no request reported as not-run has run', falselyNotRun.length === 0],
+    ['no unrepeatable request ran twice', repeated.length === 0],
+    ['every answered request has run', answeredWithoutRun.length === 0],
     [
-      'no key is without an answer for more than 2 s',
+      'no key was without a response for more than 2 s',
       longest.milliseconds <= ALLOWED_UNAVAILABLE_MILLISECONDS,
     ],
   ];
@@ -207,9 +217,9 @@
       },
     ]),
   );
-  print('Promises checked');
-  print(formatRows(checks.map(([check, held]) => ({ check, result: held ? 'holds' : 'BROKEN' }))));
-  return checks.every(([, held]) => held);
+  print('Guarantees checked');
+  print(formatRows(checks.map(([check, passed]) => ({ check, result: passed ? 'passed' : 'FAILED' }))));
+  return checks.every(([, passed]) => passed);
 }
 
 async function keepUp(addresses: Addresses): Promise<void> {
@@ -225,7 +235,7 @@
   ]) {
     print(`  node dist/src/main.js query --admin ${admin} "${statement}"`);
   }
-  print('Ctrl-C ends all.');
+  print('Press Ctrl-C to stop all processes.');
   await new Promise<void>(() => setInterval(() => undefined, 60_000));
 }
 
@@ -239,7 +249,7 @@
   startAll(addresses);
   await waitUntilReady(addresses);
   print(
-    `${processes.count} processes run: ${DAEMONS} daemons, the store, ${serverCount} servers of ${system.name}`,
+    `${processes.count} processes are running: ${DAEMONS} daemons, the store, ${serverCount} servers of ${system.name}`,
   );
   if (process.argv.includes('--keep')) {
     await keepUp(addresses);
@@ -259,9 +269,9 @@
 }
 
 try {
-  const held = await run();
+  const passed = await run();
   await endAll();
-  process.exitCode = held ? 0 : 1;
+  process.exitCode = passed ? 0 : 1;
 } catch (cause) {
   print(cause instanceof Error ? cause.message : String(cause));
   await endAll();
--- a/src/demo/processes.ts
+++ b/src/demo/processes.ts
@@ -1,5 +1,5 @@
 /**
- * The processes of a demonstration: started here, ended here, each by its own id.
+ * Starts and stops the processes of the demonstration, each by its own process id.
  */
 import { spawn, type ChildProcess } from 'node:child_process';
 import { createServer } from 'node:net';
@@ -11,11 +11,11 @@
 const PORT_STEP = 100;
 const PORT_TRIES = 50;
 
-/** Processes by name. */
+/** A group of child processes, by name. */
 export class ProcessGroup {
   readonly #children = new Map<string, ChildProcess>();
 
-  /** Starts the program with arguments under a name. What it writes to its error output is shown. */
+  /** Starts the program with arguments under a name. Its standard error is passed through. */
   start(name: string, commandLine: readonly string[]): void {
     const child = spawn(process.execPath, [PROGRAM, ...commandLine], {
       stdio: ['ignore', 'ignore', 'inherit'],
@@ -29,15 +29,20 @@
     this.#children.get(name)?.kill(signal);
   }
 
-  /** How many run. */
+  /** Number of running processes. */
   get count(): number {
     return this.#children.size;
   }
 
-  /** Ends all of them: asked first, made to after a few seconds. Frozen ones go on first. */
+  /**
+   * Stops all processes with SIGTERM, and with SIGKILL after a timeout. Frozen processes are resumed first,
+   * to react to SIGTERM.
+   */
   async end(): Promise<void> {
     const children = [...this.#children.values()];
-    const gone = children.map((child) => new Promise<void>((resolve) => child.once('exit', () => resolve())));
+    const exits = children.map(
+      (child) => new Promise<void>((resolve) => child.once('exit', () => resolve())),
+    );
     for (const child of children) {
       child.kill('SIGCONT');
       child.kill('SIGTERM');
@@ -46,7 +51,7 @@
       () => children.forEach((child) => child.kill('SIGKILL')),
       END_PATIENCE_MILLISECONDS,
     );
-    await Promise.all(gone);
+    await Promise.all(exits);
     clearTimeout(timer);
   }
 }
@@ -59,7 +64,7 @@
   });
 }
 
-/** The first of `count` ports in a row that are free. */
+/** Finds `count` consecutive free ports and returns the first. */
 export async function findFreePorts(count: number): Promise<number> {
   for (let attempt = 0; attempt < PORT_TRIES; attempt += 1) {
     const base = FIRST_PORT + attempt * PORT_STEP;
@@ -69,5 +74,5 @@
       return base;
     }
   }
-  throw new Error(`no ${count} free ports in a row from ${FIRST_PORT} on`);
+  throw new Error(`found no ${count} consecutive free ports from port ${FIRST_PORT} on`);
 }
--- a/src/demo/traffic.ts
+++ b/src/demo/traffic.ts
@@ -1,5 +1,5 @@
 /**
- * Mixed traffic for the demonstration: open-loop requests with ids, and what became of each.
+ * Mixed traffic for the demonstration: sends open-loop requests with ids and records the outcome of each.
  */
 import { Pool } from 'undici';
 import { OUTCOME_HEADER } from '../wire/headers.js';
@@ -9,7 +9,7 @@
 const CALLER_TIMEOUT_MILLISECONDS = 8_000;
 const CONNECTIONS = 64;
 
-/** One request as its caller saw it. */
+/** One request and its outcome, as seen by the caller. */
 export interface CallerRecord {
   readonly id: string;
   readonly key: string;
@@ -19,7 +19,7 @@
   outcome: 'answered' | 'not-run' | 'unknown' | 'broken';
 }
 
-/** Sends requests to daemons until it is stopped. */
+/** Sends requests to daemons until stopped. */
 export class Traffic {
   readonly records: CallerRecord[] = [];
   readonly #pools: Pool[];
@@ -28,13 +28,13 @@
   #timer: NodeJS.Timeout | undefined;
   #sent = 0;
 
-  /** @param addresses where daemons serve callers */
+  /** @param addresses the addresses at which daemons serve callers */
   constructor(addresses: readonly string[], keys: readonly string[]) {
     this.#keys = keys;
     this.#pools = addresses.map((address) => new Pool(`http://${address}`, { connections: CONNECTIONS }));
   }
 
-  /** Starts at a steady rate, whatever the answers do. */
+  /** Starts to send requests at a constant rate, independent of the responses (open loop). */
   start(): void {
     const begin = performance.now();
     this.#timer = setInterval(() => {
@@ -45,19 +45,22 @@
     }, TICK_MILLISECONDS);
   }
 
-  /** Stops and waits for the last answers. */
+  /** Stops sending and waits for the open requests to end. */
   async stop(): Promise<void> {
     clearInterval(this.#timer);
     await Promise.all(this.#open);
     await Promise.all(this.#pools.map((pool) => pool.destroy()));
   }
 
-  /** How many ended with an outcome. */
+  /** Returns the number of requests that ended with an outcome. */
   count(outcome: CallerRecord['outcome']): number {
     return this.records.filter((record) => record.outcome === outcome).length;
   }
 
-  /** The longest time between two answers for one key, the steady pause between its requests included. */
+  /**
+   * Returns the longest time between two consecutive responses for one key. The time includes the constant
+   * interval between the key's requests.
+   */
   longestUnavailable(): { readonly key: string; readonly milliseconds: number } {
     let longest = { key: '-', milliseconds: 0 };
     for (const key of this.#keys) {
@@ -97,9 +100,9 @@
     const path = `/racks/${record.key}/${record.repeatable ? 'status' : 'flash'}`;
     for (let attempt = 0; attempt < this.#pools.length; attempt += 1) {
       const pool = this.#pools[(this.#sent + attempt) % this.#pools.length];
-      const code = await this.#attempt(record, pool, method, path);
-      // A refused connection took nothing: the next daemon can be asked without harm.
-      if (code !== 'ECONNREFUSED') {
+      const errorCode = await this.#attempt(record, pool, method, path);
+      // A refused connection proves that the daemon received nothing, so a retry at the next daemon is safe.
+      if (errorCode !== 'ECONNREFUSED') {
         return;
       }
     }
@@ -112,15 +115,15 @@
     path: string,
   ): Promise<string | null> {
     try {
-      const answer = await pool?.request({
+      const response = await pool?.request({
         method,
         path,
         headers: { 'x-request-id': record.id },
         body: record.repeatable ? null : 'firmware',
         signal: AbortSignal.timeout(CALLER_TIMEOUT_MILLISECONDS),
       });
-      await answer?.body.dump();
-      record.outcome = String(answer?.headers[OUTCOME_HEADER] ?? 'broken') as CallerRecord['outcome'];
+      await response?.body.dump();
+      record.outcome = String(response?.headers[OUTCOME_HEADER] ?? 'broken') as CallerRecord['outcome'];
       return null;
     } catch (cause) {
       record.outcome = 'broken';
--- a/src/emulator/server-model.ts
+++ b/src/emulator/server-model.ts
@@ -1,6 +1,6 @@
 /**
- * A server that accepts fenced grants, as a pure model: the emulated server processes and the simulation
- * run this same code. It judges everything by its own clock and trusts no other.
+ * A pure model of a server that accepts fenced grants, shared by the emulated server processes and the
+ * simulation. The model judges leases by the server's own clock only.
  */
 import type { FencingToken } from '../core/effects.js';
 import type { Epoch, Milliseconds, ShardId, UnitNumber } from '../core/identifiers.js';
@@ -8,7 +8,7 @@
 
 interface HeldUnit {
   readonly epoch: Epoch;
-  /** Revoked while requests run: no new ones are taken. */
+  /** The unit was revoked while requests were running: no new requests are admitted. */
   draining: boolean;
 }
 
@@ -18,14 +18,14 @@
   leaseEnd: Milliseconds;
   lapseCount: number;
   readonly held: Map<UnitNumber, HeldUnit>;
-  /** The highest epoch seen of each unit, granted or revoked. */
+  /** Highest epoch of each unit that was granted or revoked. */
   readonly highest: Map<UnitNumber, Epoch>;
 }
 
-/** Why a server does not run a request. */
+/** Reason why a server refuses a request. */
 export type RequestRefusal = 'not-owner' | 'lease-lapsed' | 'leaving' | 'overloaded';
 
-/** One server's grants, leases and running requests. */
+/** The grants, leases and running requests of one server. */
 export class ServerModel {
   readonly incarnation: number;
   leaving = false;
@@ -36,32 +36,33 @@
     this.incarnation = incarnation;
   }
 
-  /** Answers a leader's call at a time on the server's own clock. */
+  /** Handles a leader's control request; `clock` is the server's own clock. */
   control(request: ControlRequest, clock: Milliseconds): ControlReply {
     const reply = { ...emptyReply(request.sequence, this.incarnation, clock), draining: this.leaving };
     if (request.serverIncarnation !== 0 && request.serverIncarnation !== this.incarnation) {
       return { ...reply, refusal: 'other-incarnation' };
     }
-    const hold = this.#holdOf(request.shard);
-    if (isOlderLeader(request, hold)) {
+    const shardState = this.#holdOf(request.shard);
+    if (isOlderLeader(request, shardState)) {
       return { ...reply, refusal: 'older-leader' };
     }
-    hold.generation = request.generation;
-    hold.term = request.term;
-    this.#dropIfLapsed(hold, clock);
-    const { lapseCount } = hold;
+    shardState.generation = request.generation;
+    shardState.term = request.term;
+    this.#dropIfLapsed(shardState, clock);
+    const { lapseCount } = shardState;
     const leaseEnd = request.stamp === null ? 0 : request.stamp + request.leaseMilliseconds;
-    hold.leaseEnd = Math.max(hold.leaseEnd, leaseEnd);
-    const revoked = request.revokes.filter((revoke) => this.#revoke(hold, revoke));
-    // A call whose own stamp has run out is void: the leader may have given the units to others since.
+    shardState.leaseEnd = Math.max(shardState.leaseEnd, leaseEnd);
+    const revoked = request.revokes.filter((revoke) => this.#revoke(shardState, revoke));
+    // Grants of a request whose lease has already expired are ignored: the leader may have granted the units
+    // to others since.
     const grants = leaseEnd > clock ? request.grants : [];
-    const granted = grants.filter((grant) => this.#grant(hold, grant));
+    const granted = grants.filter((grant) => this.#grant(shardState, grant));
     const staleGrants = grants.filter((grant) => !granted.includes(grant));
-    const inventory = request.wantInventory ? inventoryOf(hold) : null;
+    const inventory = request.wantInventory ? inventoryOf(shardState) : null;
     return { ...reply, lapseCount, granted, staleGrants, revoked, inventory };
   }
 
-  /** Whether a request may run now; if it may, it counts as running until `finish`. */
+  /** Admits a request, which then counts as running until `finish`, or returns the reason for the refusal. */
   admit(token: FencingToken | null, clock: Milliseconds): RequestRefusal | null {
     if (token === null) {
       return this.leaving ? 'leaving' : null;
@@ -73,34 +74,42 @@
     return refusal;
   }
 
-  /** Whether a request that was admitted may still take effect. */
+  /**
+   * Returns whether an admitted request may still take effect: its unit must still be held at the token's
+   * epoch.
+   */
   mayTakeEffect(token: FencingToken | null, clock: Milliseconds): boolean {
     return token === null || this.#findHold(token, clock) !== undefined;
   }
 
-  /** A request that was admitted has ended. */
+  /** Records that an admitted request has ended. */
   finish(token: FencingToken | null): void {
     if (token === null) {
       return;
     }
-    const left = (this.#running.get(token.unit) ?? 1) - 1;
-    if (left > 0) {
-      this.#running.set(token.unit, left);
+    const remaining = (this.#running.get(token.unit) ?? 1) - 1;
+    if (remaining > 0) {
+      this.#running.set(token.unit, remaining);
     } else {
       this.#running.delete(token.unit);
     }
   }
 
-  /** Units held under a valid lease at a time on the server's own clock, those being given up included. */
+  /**
+   * Returns the units held under a valid lease, including units that are draining; `clock` is the server's
+   * own clock.
+   */
   ownedUnits(clock: Milliseconds): UnitEpoch[] {
-    return [...this.#shards.values()].filter((hold) => clock < hold.leaseEnd).flatMap(inventoryOf);
+    return [...this.#shards.values()]
+      .filter((shardState) => clock < shardState.leaseEnd)
+      .flatMap(inventoryOf);
   }
 
-  /** The epoch at which a unit is held under a valid lease, or undefined. */
+  /** Returns the epoch at which a unit is held under a valid lease, or undefined. */
   ownedEpoch(unit: UnitNumber, clock: Milliseconds): Epoch | undefined {
-    for (const hold of this.#shards.values()) {
-      const held = hold.held.get(unit);
-      if (held !== undefined && clock < hold.leaseEnd) {
+    for (const shardState of this.#shards.values()) {
+      const held = shardState.held.get(unit);
+      if (held !== undefined && clock < shardState.leaseEnd) {
         return held.epoch;
       }
     }
@@ -108,26 +117,26 @@
   }
 
   #holdOf(shard: ShardId): ShardHold {
-    let hold = this.#shards.get(shard);
-    if (hold === undefined) {
+    let shardState = this.#shards.get(shard);
+    if (shardState === undefined) {
       const maps = { held: new Map<UnitNumber, HeldUnit>(), highest: new Map<UnitNumber, Epoch>() };
-      hold = { generation: 0, term: 0, leaseEnd: 0, lapseCount: 0, ...maps };
-      this.#shards.set(shard, hold);
+      shardState = { generation: 0, term: 0, leaseEnd: 0, lapseCount: 0, ...maps };
+      this.#shards.set(shard, shardState);
     }
-    return hold;
+    return shardState;
   }
 
-  #dropIfLapsed(hold: ShardHold, clock: Milliseconds): void {
-    if (hold.held.size > 0 && clock >= hold.leaseEnd) {
-      hold.held.clear();
-      hold.lapseCount += 1;
+  #dropIfLapsed(shardState: ShardHold, clock: Milliseconds): void {
+    if (shardState.held.size > 0 && clock >= shardState.leaseEnd) {
+      shardState.held.clear();
+      shardState.lapseCount += 1;
     }
   }
 
   #findHold(token: FencingToken, clock: Milliseconds): HeldUnit | undefined {
-    for (const hold of this.#shards.values()) {
-      this.#dropIfLapsed(hold, clock);
-      const held = hold.held.get(token.unit);
+    for (const shardState of this.#shards.values()) {
+      this.#dropIfLapsed(shardState, clock);
+      const held = shardState.held.get(token.unit);
       if (held?.epoch === token.epoch) {
         return held;
       }
@@ -140,9 +149,9 @@
     return held === undefined || held.draining ? 'not-owner' : null;
   }
 
-  #revoke(hold: ShardHold, { unit, epoch }: UnitEpoch): boolean {
-    hold.highest.set(unit, Math.max(hold.highest.get(unit) ?? 0, epoch));
-    const held = hold.held.get(unit);
+  #revoke(shardState: ShardHold, { unit, epoch }: UnitEpoch): boolean {
+    shardState.highest.set(unit, Math.max(shardState.highest.get(unit) ?? 0, epoch));
+    const held = shardState.held.get(unit);
     if (held === undefined) {
       return true;
     }
@@ -150,20 +159,20 @@
     if (this.#running.has(unit)) {
       return false;
     }
-    hold.held.delete(unit);
+    shardState.held.delete(unit);
     return true;
   }
 
-  #grant(hold: ShardHold, { unit, epoch }: UnitEpoch): boolean {
-    const held = hold.held.get(unit);
+  #grant(shardState: ShardHold, { unit, epoch }: UnitEpoch): boolean {
+    const held = shardState.held.get(unit);
     if (held?.epoch === epoch && !held.draining) {
       return true;
     }
-    if (epoch <= (hold.highest.get(unit) ?? 0)) {
+    if (epoch <= (shardState.highest.get(unit) ?? 0)) {
       return false;
     }
-    hold.highest.set(unit, epoch);
-    hold.held.set(unit, { epoch, draining: false });
+    shardState.highest.set(unit, epoch);
+    shardState.held.set(unit, { epoch, draining: false });
     return true;
   }
 }
@@ -183,11 +192,11 @@
   };
 }
 
-function isOlderLeader(request: ControlRequest, hold: ShardHold): boolean {
-  const olderTerm = request.generation === hold.generation && request.term < hold.term;
-  return request.generation < hold.generation || olderTerm;
+function isOlderLeader(request: ControlRequest, shardState: ShardHold): boolean {
+  const olderTerm = request.generation === shardState.generation && request.term < shardState.term;
+  return request.generation < shardState.generation || olderTerm;
 }
 
-function inventoryOf(hold: ShardHold): UnitEpoch[] {
-  return [...hold.held].map(([unit, { epoch }]) => ({ unit, epoch }));
+function inventoryOf(shardState: ShardHold): UnitEpoch[] {
+  return [...shardState.held].map(([unit, { epoch }]) => ({ unit, epoch }));
 }
--- a/src/emulator/server-process.ts
+++ b/src/emulator/server-process.ts
@@ -1,11 +1,12 @@
 /**
- * An emulated back-end server over HTTP: slots, a connection limit, fenced grants with leases on its own
- * clock, drain, cold start, shedding, cancellation, and reports that can lag or lie.
+ * An emulated upstream server over HTTP with concurrency slots, a connection limit, fenced grants with leases
+ * on its own clock, draining, cold start, load shedding, cancellation, and load reports that can be wrong.
  *
- * - `POST /fennelferry/control`: a shard leader's call.
- * - `PUT /emulator/behaviour`: changes its behaviour while it runs.
- * - `GET /emulator/runs`: how often each request id was run.
- * - anything else is a request.
+ * - `POST /fennelferry/control`: a control request of a shard leader.
+ * - `PUT /emulator/behaviour`: changes the server's behaviour at run time.
+ * - `GET /emulator/runs`: how often the server ran each request id.
+ * - `GET /health` and `GET /load`: health and reported load.
+ * - Any other path: a caller's request.
  */
 import { createServer, type IncomingMessage, type ServerResponse } from 'node:http';
 import * as z from 'zod';
@@ -15,21 +16,21 @@
 import { splitAddress } from '../settings/address.js';
 import { ServerModel, type RequestRefusal } from './server-model.js';
 
-/** What an emulated server does. */
+/** Behaviour of an emulated server. */
 export interface ServerBehaviour {
-  /** Requests run at once. */
+  /** Maximum number of requests that run at once. */
   readonly concurrency: number;
-  /** Requests that wait for a slot before others are shed. */
+  /** Maximum number of requests that wait for a slot; further requests are shed. */
   readonly queue: number;
   readonly connections: number;
-  /** Time to run one request. */
+  /** Time that one request takes to run. */
   readonly serviceMilliseconds: number;
-  /** Factor on the service time. */
+  /** Factor by which the service time is multiplied. */
   readonly slowness: number;
-  /** The first requests after a start take this much longer. */
+  /** Extra service time of the first `coldRequests` requests after a start. */
   readonly coldStartMilliseconds: number;
   readonly coldRequests: number;
-  /** Added to the load it reports; a negative number flatters. */
+  /** Number added to the reported load; a negative number under-reports the load. */
   readonly reportedLoadOffset: number;
   readonly leaving: boolean;
 }
@@ -46,7 +47,9 @@
   leaving: false,
 };
 
-/** Answers at once and never sheds: what is measured is the router. */
+/**
+ * Responds without delay and sheds only under extreme load, so that a benchmark measures the router alone.
+ */
 export const INSTANT_BEHAVIOUR: ServerBehaviour = {
   ...DEFAULT_BEHAVIOUR,
   concurrency: 1_000,
@@ -91,15 +94,15 @@
     this.#behaviour = behaviour;
   }
 
-  /** Listens. Resolves when it does. */
+  /** Starts to listen. Resolves when the server is listening. */
   async start(address: string): Promise<void> {
     const { host, port } = splitAddress(address);
-    // Control calls and by-hand calls stand beside the budget that daemons share.
+    // Control requests and manual requests need connections in addition to the budget that daemons share.
     this.#server.maxConnections = this.#behaviour.connections + 8;
     await new Promise<void>((resolve) => this.#server.listen(port, host, resolve));
   }
 
-  /** Closes at once. */
+  /** Closes the server and all its connections at once. */
   stop(): void {
     this.#server.closeAllConnections();
     this.#server.close();
@@ -144,15 +147,15 @@
   #serve(request: IncomingMessage, response: ServerResponse): void {
     const token = tokenOf(request);
     const refusal = this.#queue.length >= this.#behaviour.queue ? 'overloaded' : null;
-    const verdict = refusal ?? this.#model.admit(token, performance.now());
-    if (verdict !== null) {
-      refuse(request, response, verdict);
+    const finalRefusal = refusal ?? this.#model.admit(token, performance.now());
+    if (finalRefusal !== null) {
+      refuse(request, response, finalRefusal);
       return;
     }
-    let gone = false;
-    response.once('close', () => (gone = !response.writableFinished));
+    let callerGone = false;
+    response.once('close', () => (callerGone = !response.writableFinished));
     const start = (): void => {
-      if (gone) {
+      if (callerGone) {
         this.#model.finish(token);
         this.#startNext();
         return;
--- a/src/emulator/store-model.ts
+++ b/src/emulator/store-model.ts
@@ -1,38 +1,38 @@
 /**
- * The platform's object store as a pure model: objects with versions, compare-and-swap, and waiting for a
- * newer version. Faults can be switched on while it runs.
+ * A pure model of the platform's object store: versioned objects, compare-and-swap, and watches for a newer
+ * version. The emulated store process and the simulation add the faults.
  */
 
-/** One object. Version 0 stands for "there is none". */
+/** One object. Version 0 means that the object does not exist. */
 export interface StoredObject {
   readonly version: number;
   readonly value: string;
   readonly writeId: string;
 }
 
-/** What the store does wrong. */
+/** A fault of the store. */
 export type StoreFault = 'none' | 'down' | 'slow' | 'lose-answers';
 
 export const STORE_FAULTS: readonly StoreFault[] = ['none', 'down', 'slow', 'lose-answers'];
 
-/** What became of a write. */
+/** The outcome of a write. */
 export type WriteOutcome =
   | { readonly kind: 'written'; readonly version: number }
   | { readonly kind: 'conflict'; readonly current: StoredObject };
 
 const ABSENT: StoredObject = { version: 0, value: '', writeId: '' };
 
-/** Objects by name. */
+/** Stores objects by name. */
 export class StoreModel {
   readonly #objects = new Map<string, StoredObject>();
   readonly #waiting = new Set<{ readonly name: string; readonly after: number; readonly wake: () => void }>();
 
-  /** The object, or one with version 0. */
+  /** Returns an object, or a placeholder with version 0 if it does not exist. */
   read(name: string): StoredObject {
     return this.#objects.get(name) ?? ABSENT;
   }
 
-  /** Writes if the version is still the expected one. */
+  /** Writes an object if its current version is the expected one. */
   write(name: string, expectedVersion: number, writeId: string, value: string): WriteOutcome {
     const current = this.read(name);
     if (current.version !== expectedVersion) {
@@ -44,14 +44,14 @@
     return { kind: 'written', version };
   }
 
-  /** Calls `wake` once when the object has a newer version. Returns what cancels the wait. */
+  /** Calls `wake` once, when the object gets a newer version. Returns a function that cancels the watch. */
   waitForNewer(name: string, after: number, wake: () => void): () => void {
     const waiter = { name, after, wake };
     this.#waiting.add(waiter);
     return () => this.#waiting.delete(waiter);
   }
 
-  /** How many waits there are. */
+  /** Number of open watches. */
   get waiters(): number {
     return this.#waiting.size;
   }
--- a/src/emulator/store-process.ts
+++ b/src/emulator/store-process.ts
@@ -1,9 +1,10 @@
 /**
- * The emulated platform store over HTTP.
+ * An emulated platform store over HTTP.
  *
- * - `GET /objects/<name>[?after=<version>&wait=<ms>]`: the object; with `after`, waits for a newer one.
+ * - `GET /objects/<name>[?after=<version>&wait=<ms>]`: returns the object; with `after`, waits for a newer
+ *   version.
  * - `PUT /objects/<name>` with `{expectedVersion, writeId, value}`: compare-and-swap; 409 on a conflict.
- * - `PUT /emulator/fault` with `{fault}`: switches a fault on or off.
+ * - `PUT /emulator/fault` with `{fault}`: sets the active fault.
  */
 import { serve } from '@hono/node-server';
 import { Hono, type Context } from 'hono';
@@ -25,9 +26,9 @@
 /** Options of an emulated store. */
 export interface StoreProcessOptions {
   readonly address: string;
-  /** Reads with a wait beyond this many at once get 429. */
+  /** Maximum number of reads that wait at once; further reads with a wait get 429. */
   readonly mostReaders: number;
-  /** Objects to start with, by name. */
+  /** Initial objects by name. */
   readonly objects: Readonly<Record<string, string>>;
 }
 
@@ -43,7 +44,7 @@
   });
 }
 
-/** Starts the store. Resolves with what stops it. */
+/** Starts the store. Resolves, once it is listening, with a function that stops it. */
 export function startStoreProcess(options: StoreProcessOptions): Promise<() => void> {
   const model = new StoreModel();
   let fault: StoreFault = 'none';
@@ -52,7 +53,7 @@
   }
   const app = new Hono();
 
-  async function suffer(context: Context): Promise<Response | null> {
+  async function applyFault(context: Context): Promise<Response | null> {
     if (fault === 'down') {
       return context.json({ error: 'down' }, 503);
     }
@@ -63,9 +64,9 @@
   }
 
   app.get('/objects/:name', async (context) => {
-    const failed = await suffer(context);
-    if (failed !== null) {
-      return failed;
+    const errorResponse = await applyFault(context);
+    if (errorResponse !== null) {
+      return errorResponse;
     }
     const name = context.req.param('name');
     const after = context.req.query('after');
@@ -76,13 +77,13 @@
       }
       await newerVersion(model, name, Number(after), wait);
     }
-    return (await suffer(context)) ?? context.json(model.read(name));
+    return (await applyFault(context)) ?? context.json(model.read(name));
   });
 
   app.put('/objects/:name', async (context) => {
-    const failed = await suffer(context);
-    if (failed !== null) {
-      return failed;
+    const errorResponse = await applyFault(context);
+    if (errorResponse !== null) {
+      return errorResponse;
     }
     const parsed = writeSchema.safeParse(await context.req.json());
     if (!parsed.success) {
--- a/src/emulator/systems.ts
+++ b/src/emulator/systems.ts
@@ -1,6 +1,6 @@
 /**
- * The two users' systems at today's sizes, by name: their zones, their groups of servers and routes to
- * them. The figures come from the users' brief; slots and routes are this project's choice.
+ * The systems that can be emulated, by name: their zones, server groups and routes. Sizes and delays are
+ * those of two users' systems; the concurrency of the servers and the routes are assumptions.
  */
 import type { RoutingConfiguration } from '../core/configuration/routing-configuration.js';
 import { checkRoutingConfiguration } from '../core/configuration/routing-configuration.js';
@@ -12,15 +12,15 @@
   readonly servers: number;
 }
 
-/** A user's system. */
+/** Description of a system. */
 export interface SystemShape {
   readonly name: string;
   readonly zones: readonly string[];
   readonly groups: readonly GroupShape[];
   readonly behaviour: ServerBehaviour;
-  /** One way, between two zones. */
+  /** One-way delay between two zones. */
   readonly zoneDelayMilliseconds: number;
-  /** One way, to clients. */
+  /** One-way delay between callers and daemons. */
   readonly clientDelayMilliseconds: number;
   readonly routes: readonly object[];
 }
@@ -64,7 +64,7 @@
   ],
 };
 
-/** Every system that can be started by name. */
+/** All systems that can be started by name. */
 export const SYSTEMS: readonly SystemShape[] = [KLANG_VALLEY, GT_CENTRAL];
 
 function route(
@@ -76,8 +76,8 @@
   repeatable: boolean,
   priority: string,
 ): object {
-  const keyPlace = key === null ? {} : { key: { from: 'path', name: key } };
-  return { name, path, methods, group, ...keyPlace, repeatable, priority };
+  const keySource = key === null ? {} : { key: { from: 'path', name: key } };
+  return { name, path, methods, group, ...keySource, repeatable, priority };
 }
 
 function twoDigits(position: number): string {
@@ -85,8 +85,8 @@
 }
 
 /**
- * The routing configuration of a system.
- * @param addressOf the address of the server at a position, counted over all groups
+ * Returns the routing configuration of a system.
+ * @param addressOf returns the address of a server by its position, counted over all groups
  */
 export function configurationOf(
   system: SystemShape,
@@ -111,16 +111,16 @@
   return checkRoutingConfiguration({ groups, routes: system.routes })._unsafeUnwrap();
 }
 
-/** The system of a name, or undefined. */
+/** Returns the system with a name, or undefined. */
 export function findSystem(name: string): SystemShape | undefined {
   return SYSTEMS.find((system) => system.name === name);
 }
 
-/** The system of a name; the device lab when none is given. */
+/** Returns the system with a name, `klang-valley` by default; throws if there is none. */
 export function systemNamed(name = 'klang-valley'): SystemShape {
   const system = findSystem(name);
   if (system === undefined) {
-    throw new Error(`no system ${name}`);
+    throw new Error(`unknown system ${name}`);
   }
   return system;
 }
--- a/src/simulation/availability.ts
+++ b/src/simulation/availability.ts
@@ -1,6 +1,7 @@
 /**
- * How long units cannot be served, sampled on the ground truth: a unit is served when a working server
- * holds it under a valid lease and most working daemons of a side route to that server at that epoch.
+ * Measures how long units are unavailable by sampling the actual state of the simulated processes. A unit is
+ * available when a working server holds it under a valid lease and most working daemons of one side route to
+ * that server at that epoch.
  */
 import type { Milliseconds, UnitNumber } from '../core/identifiers.js';
 import { shardOfUnit } from '../core/configuration/shard-layout.js';
@@ -8,10 +9,10 @@
 import type { SimulatedDaemon } from './simulated-daemon.js';
 import type { SimulatedServer } from './simulated-server.js';
 
-/** Between two samples; the figures are exact to this. */
+/** Time between two samples, which is also the resolution of the measured outages. */
 export const SAMPLE_INTERVAL: Milliseconds = 20;
 
-/** Samples the units of one keyed group. */
+/** Samples the availability of the units of one keyed group. */
 export class AvailabilitySampler {
   readonly #group: GroupConfiguration;
   readonly #down = new Map<UnitNumber, Milliseconds>();
@@ -23,13 +24,16 @@
     this.#group = group;
   }
 
-  /** Forgets what came before: the figures count from here. */
+  /**
+   * Discards the recorded outages and owner changes. An outage that is still going on is counted from its
+   * beginning.
+   */
   reset(): void {
     this.#longest.clear();
     this.ownerChanges = 0;
   }
 
-  /** Takes one sample. */
+  /** Samples all units at a virtual time. */
   sample(
     daemons: readonly SimulatedDaemon[],
     servers: ReadonlyMap<string, SimulatedServer>,
@@ -39,8 +43,8 @@
     const sides = [...new Set(working.map((daemon) => daemon.side))];
     const daemonsOfSides = sides.map((side) => working.filter((daemon) => daemon.side === side));
     for (let unit = 0; unit < this.#group.slots; unit += 1) {
-      const served = daemonsOfSides.some((ofSide) => this.#isServed(unit, ofSide, servers));
-      if (served) {
+      const available = daemonsOfSides.some((ofSide) => this.#isServed(unit, ofSide, servers));
+      if (available) {
         this.#down.delete(unit);
         continue;
       }
@@ -51,7 +55,7 @@
     }
   }
 
-  /** Longest unavailable time of each unit that had one, in ascending order. */
+  /** Returns the longest outage of each unit that had one, in ascending order. */
   outages(): Milliseconds[] {
     return [...this.#longest.values()].sort((left, right) => left - right);
   }
--- a/src/simulation/baselines.ts
+++ b/src/simulation/baselines.ts
@@ -1,16 +1,16 @@
 /**
- * Simpler policies to compare the placement with: plain modulo hashing, and rendezvous hashing without
- * weights or counts. Pure: what the loss of one server costs each of them.
+ * Simple placement policies as baselines: plain modulo hashing, and rendezvous hashing without weights or
+ * unit counts. Computes what the loss of one server costs under each of them.
  */
 import { rendezvousOrder } from '../core/hashing.js';
 
-/** What a policy does when one server of many is lost. */
+/** Cost of the loss of one server under a policy. */
 export interface BaselineFigures {
   readonly policy: 'modulo' | 'rendezvous';
   readonly ownerChanges: number;
-  /** Changes of units whose owner was not lost. */
+  /** Owner changes of units whose owner was not lost. */
   readonly needlessChanges: number;
-  /** Most units on a server over the mean, after the loss. */
+  /** Highest number of units on a server divided by the mean, after the loss. */
   readonly imbalance: number;
 }
 
@@ -26,22 +26,22 @@
   return Math.max(...counts) / (owners.length / servers.length);
 }
 
-/** Loses the first of the servers under a policy. */
+/** Computes the cost of losing the first of the servers under a policy. */
 export function measureBaseline(
   policy: BaselineFigures['policy'],
   units: number,
   servers: readonly string[],
 ): BaselineFigures {
-  const [lost, ...left] = servers;
+  const [lost, ...remaining] = servers;
   const ownerOf = POLICIES[policy];
   const all = Array.from({ length: units }, (_, unit) => unit);
   const before = all.map((unit) => ownerOf(unit, servers));
-  const after = all.map((unit) => ownerOf(unit, left));
+  const after = all.map((unit) => ownerOf(unit, remaining));
   const changed = all.filter((unit) => before[unit] !== after[unit]);
   return {
     policy,
     ownerChanges: changed.length,
     needlessChanges: changed.filter((unit) => before[unit] !== lost).length,
-    imbalance: imbalanceOf(after, left),
+    imbalance: imbalanceOf(after, remaining),
   };
 }
--- a/src/simulation/checkers.ts
+++ b/src/simulation/checkers.ts
@@ -1,6 +1,6 @@
 /**
- * Checks the promises on a run while it goes on. They look at the ground truth of servers and daemons,
- * not at what the product says of itself.
+ * Checkers that verify the guarantees during a run. They inspect the actual state of the simulated servers
+ * and daemons, not what the daemons report about themselves.
  */
 import type { Epoch, Milliseconds, ServerId, ShardId, UnitNumber } from '../core/identifiers.js';
 import type { ShardObject } from '../core/ownership/shard-object.js';
@@ -10,19 +10,21 @@
 
 const TERMS_PER_GENERATION = 1_000_000;
 
-/** At most one server owns a unit: a valid lease on its own clock, and the unit held. */
+/**
+ * Checks that at most one server owns a unit: holds it under a lease that is valid on the server's own clock.
+ */
 export class SingleOwnerChecker {
   readonly #history: History;
   readonly #groups: readonly (readonly SimulatedServer[])[];
   readonly #reported = new Set<string>();
 
-  /** @param groups the servers of each keyed group: units of two groups never meet */
+  /** @param groups the servers of each keyed group; unit numbers of different groups are unrelated */
   constructor(history: History, groups: readonly (readonly SimulatedServer[])[]) {
     this.#history = history;
     this.#groups = groups;
   }
 
-  /** Called after each control call that a server took. */
+  /** Checks the units of a server after the server has executed a control request. */
   afterControl(server: SimulatedServer, now: Milliseconds): void {
     const peers = this.#groups.find((group) => group.includes(server)) ?? [];
     for (const { unit, epoch } of server.model.ownedUnits(server.clock)) {
@@ -40,7 +42,7 @@
     const key = `${unit}:${[one[0], two[0]].sort().join()}`;
     if (!this.#reported.has(key)) {
       this.#reported.add(key);
-      const detail = `unit ${unit} is owned by ${one[0]} at ${one[1]} and by ${two[0]} at ${two[1]}`;
+      const detail = `unit ${unit} is owned by ${one[0]} at epoch ${one[1]} and by ${two[0]} at epoch ${two[1]}`;
       this.#history.violate('single-owner', now, detail);
     }
   }
@@ -51,23 +53,23 @@
   readonly server: ServerId;
 }
 
-/** Orders leaders by generation, then term. */
+/** Returns a number that orders leaders by generation, then by term. */
 function rankOf({ generation, term }: { readonly generation: number; readonly term: number }): number {
   return generation * TERMS_PER_GENERATION + term;
 }
 
-/** Two sides may have shards of the same name. */
+/** Returns a key that is unique across sides: two sides may have shards of the same name. */
 function scopeOf(daemon: SimulatedDaemon, shard: ShardId): string {
   return `${daemon.side}:${shard}`;
 }
 
-/** Reads a shard's object in the store of a side. */
+/** Reads a shard's object from the store of a side. */
 export type ReadShardObject = (side: string, shard: ShardId) => ShardObject | null;
 
 /**
- * What a leader has acknowledged is in the table of every later leader of its generation, or something
- * newer is. A generation that was formed from the store must hold what the store held: only that is
- * claimed to survive the loss of all replicas.
+ * Checks that an assignment which a leader has acknowledged, or a newer one, is in the table of every later
+ * leader of the same generation. A generation that was formed from the store must contain the assignments in
+ * the store: only those are guaranteed to survive the loss of all replicas.
  */
 export class AcknowledgedChecker {
   readonly #history: History;
@@ -83,7 +85,7 @@
     this.#readObject = readObject;
   }
 
-  /** Called after each event of a daemon. */
+  /** Checks a daemon's leaderships after each of its events. */
   observe(daemon: SimulatedDaemon, now: Milliseconds): void {
     for (const [shard, leadership] of daemon.state.leaderships) {
       const { replica, ready } = leadership;
@@ -105,8 +107,8 @@
         record === undefined || record.epoch < before.epoch || (record.epoch === before.epoch && !same);
       if (lost && !this.#isDeposed(daemon, shard) && !this.#reported) {
         this.#reported = true;
-        const found = record === undefined ? 'nothing' : `${record.server} at ${record.epoch}`;
-        const detail = `${shard} unit ${unit}: ${before.server} at ${before.epoch} was acknowledged, ${daemon.id} has ${found}`;
+        const found = record === undefined ? 'no record' : `${record.server} at epoch ${record.epoch}`;
+        const detail = `${shard} unit ${unit}: ${before.server} at epoch ${before.epoch} was acknowledged, but leader ${daemon.id} has ${found}`;
         this.#history.violate('acknowledged-survives', now, detail);
       }
     }
@@ -140,14 +142,17 @@
     );
   }
 
-  /** A leader that has been replaced and does not know it yet may be behind: it can acknowledge nothing. */
+  /**
+   * Returns whether a newer leader has been elected. A deposed leader that has not noticed yet may have an
+   * outdated table, which is harmless since it can no longer commit, and so acknowledges nothing.
+   */
   #isDeposed(daemon: SimulatedDaemon, shard: ShardId): boolean {
     const replica = daemon.state.leaderships.get(shard)?.replica;
     const newest = this.#newestTerm.get(scopeOf(daemon, shard)) ?? 0;
     return replica !== undefined && rankOf(replica) < newest;
   }
 
-  /** Notes the newest term that has a leader. */
+  /** Records the newest term of each shard that has a leader. */
   noteTerms(daemon: SimulatedDaemon): void {
     for (const [shard, { replica }] of daemon.state.leaderships) {
       const scope = scopeOf(daemon, shard);
@@ -156,18 +161,21 @@
   }
 }
 
-/** A configuration never reverts on a daemon, and what was accepted is in force everywhere in the end. */
+/**
+ * Checks that a daemon never reverts to an older configuration and that accepted versions finally reach all
+ * daemons.
+ */
 export class ConfigurationChecker {
   readonly #history: History;
   readonly #versions = new Map<string, number>();
-  /** The newest accepted version of each side: two sides have a configuration each. */
+  /** Newest accepted version by side: each side has its own configuration. */
   readonly #accepted = new Map<string, number>();
 
   constructor(history: History) {
     this.#history = history;
   }
 
-  /** Called after each event of a daemon. */
+  /** Checks a daemon's configuration version after each of its events. */
   observe(daemon: SimulatedDaemon, now: Milliseconds): void {
     const key = `${daemon.id}#${daemon.life}`;
     const { version } = daemon.state.configuration;
@@ -180,17 +188,20 @@
       this.#history.violate(
         'configuration-in-force',
         now,
-        `${daemon.id} went from ${before} back to ${version}`,
+        `${daemon.id} reverted from version ${before} to ${version}`,
       );
     }
   }
 
-  /** An operator of a side was told that a version is accepted. */
+  /** Records that a configuration version was reported to an operator of a side as accepted. */
   accepted(side: string, version: number): void {
     this.#accepted.set(side, Math.max(this.#accepted.get(side) ?? 0, version));
   }
 
-  /** Called when everything has been whole for longer than a configuration may take. */
+  /**
+   * Checks the final state. Call it when no fault was active for longer than a configuration may take to
+   * propagate.
+   */
   atEnd(
     daemons: readonly SimulatedDaemon[],
     storeVersionOf: (side: string) => number,
@@ -201,7 +212,7 @@
         this.#history.violate(
           'configuration-in-force',
           now,
-          `${side}: version ${accepted} was accepted and is gone`,
+          `${side}: accepted version ${accepted} is missing from the store`,
         );
       }
     }
@@ -209,14 +220,17 @@
       const { version } = daemon.state.configuration;
       const accepted = this.#accepted.get(daemon.side) ?? 0;
       if (daemon.working && version < accepted) {
-        const detail = `${daemon.id} has ${version} in force, ${accepted} was accepted`;
+        const detail = `${daemon.id} has version ${version} in force, but version ${accepted} was accepted`;
         this.#history.violate('configuration-in-force', now, detail);
       }
     }
   }
 }
 
-/** After a drain was accepted, and a few seconds more, a server is given no new work. */
+/**
+ * Checks that a server receives no new requests once its drain has been accepted and a grace period has
+ * passed.
+ */
 export class DrainChecker {
   readonly #history: History;
   readonly #drainedAt = new Map<ServerId, Milliseconds>();
@@ -227,7 +241,7 @@
     this.#grace = grace;
   }
 
-  /** A drain, or its end, was accepted. */
+  /** Records that a server's drain, or the end of its drain, was accepted. */
   changed(server: ServerId, draining: boolean, now: Milliseconds): void {
     if (draining) {
       this.#drainedAt.set(server, now);
@@ -236,12 +250,12 @@
     }
   }
 
-  /** A server admitted a request. */
+  /** Checks a request that a server has just admitted. */
   admitted(server: ServerId, now: Milliseconds): void {
     const since = this.#drainedAt.get(server);
     if (since !== undefined && now > since + this.#grace) {
       this.#drainedAt.delete(server);
-      const detail = `${server} took a request ${Math.round(now - since)} ms after its drain was accepted`;
+      const detail = `${server} admitted a request ${Math.round(now - since)} ms after its drain was accepted`;
       this.#history.violate('leaving-gets-no-work', now, detail);
     }
   }
--- a/src/simulation/fault-helpers.ts
+++ b/src/simulation/fault-helpers.ts
@@ -1,20 +1,20 @@
-/** What faults of every kind need: a length of time, a line of the history, whom to strike. */
+/** Helpers shared by all faults: random durations, log lines in the history, and the choice of a daemon. */
 import type { Milliseconds } from '../core/identifiers.js';
 import type { SeededRandom } from '../core/random.js';
 import type { SimulatedDaemon } from './simulated-daemon.js';
 import type { World } from './world.js';
 
-/** A length of time drawn between two bounds. */
-export function between(random: SeededRandom, least: Milliseconds, most: Milliseconds): Milliseconds {
-  return least + random.fraction() * (most - least);
+/** Returns a random number between two bounds. */
+export function between(random: SeededRandom, min: Milliseconds, max: Milliseconds): Milliseconds {
+  return min + random.fraction() * (max - min);
 }
 
-/** Writes a line into the history of the run. */
+/** Logs a fault in the timeline of the run. */
 export function note(world: World, text: string): void {
   world.history.note(world.now, `FAULT ${text}`);
 }
 
-/** A daemon that leads, or any that lives when none does. */
+/** Returns a working daemon that leads a shard, or a random working daemon if none leads. */
 export function leaderOrAny(world: World): SimulatedDaemon | undefined {
   const working = world.daemons.filter((daemon) => daemon.working && !daemon.stopping);
   return working.find((daemon) => daemon.state.leaderships.size > 0) ?? world.random.pick(working);
--- a/src/simulation/faults.ts
+++ b/src/simulation/faults.ts
@@ -1,5 +1,5 @@
 /**
- * What fails, from the users' brief, as faults that begin at some time and are over some time later.
+ * Faults that the simulation injects. Each fault starts at a given time and ends after a given duration.
  */
 import type { Milliseconds } from '../core/identifiers.js';
 import type { StoreFault } from '../emulator/store-model.js';
@@ -10,7 +10,7 @@
 import type { SimulatedProcess } from './simulated-process.js';
 import type { World } from './world.js';
 
-/** Every kind of fault. */
+/** All kinds of faults. */
 export const FAULT_KINDS = [
   'daemon-crash',
   'leader-crash',
@@ -36,7 +36,10 @@
 export type FaultKind = (typeof FAULT_KINDS)[number];
 
 const DRAIN_POLL: Milliseconds = 20;
-/** A stopping process lives at least this long, so that what it said goes out. */
+/**
+ * Minimum time from the start of a planned stop to the exit, so that the daemon's messages are sent before it
+ * exits.
+ */
 const LEAST_STOP_TIME: Milliseconds = 200;
 const PLANNED_STOP_PATIENCE: Milliseconds = 10_000;
 
@@ -47,7 +50,7 @@
   note(world, `${process.endpoint.name} crashes for ${Math.round(downFor)} ms`);
   process.crash();
   world.scheduler.after(downFor, () => {
-    note(world, `${process.endpoint.name} starts again`);
+    note(world, `${process.endpoint.name} restarts`);
     process.restart();
   });
 }
@@ -61,21 +64,21 @@
   process.pause();
   world.scheduler.after(duration, () => {
     if (process.life === life) {
-      note(world, `${process.endpoint.name} goes on`);
+      note(world, `${process.endpoint.name} resumes`);
       process.resume();
     }
   });
 }
 
 function storeFault(world: World, fault: StoreFault, duration: Milliseconds): void {
-  note(world, `store ${fault} for ${Math.round(duration)} ms`);
+  note(world, `store fault ${fault} for ${Math.round(duration)} ms`);
   world.store.fault = fault;
   world.scheduler.after(duration, () => {
     world.store.fault = 'none';
   });
 }
 
-/** Some daemon is stopped as planned. */
+/** Stops a random working daemon gracefully. */
 function plannedStop(world: World): void {
   const daemon = world.random.pick(
     world.daemons.filter((candidate) => candidate.working && !candidate.stopping),
@@ -83,30 +86,33 @@
   stopAsPlanned(world, daemon);
 }
 
-/** Stops a daemon as planned: it takes no new requests, finishes what it has, and is replaced. */
+/**
+ * Stops a daemon gracefully: the daemon accepts no new requests, finishes its open requests, and is
+ * restarted.
+ */
 export function stopAsPlanned(world: World, daemon: SimulatedDaemon | undefined): void {
   if (daemon === undefined) {
     return;
   }
-  note(world, `${daemon.id} is stopped as planned`);
+  note(world, `planned stop of ${daemon.id}`);
   daemon.stopping = true;
   daemon.dispatch({ kind: 'stopping' });
   const { life } = daemon;
-  const giveUpAt = world.now + PLANNED_STOP_PATIENCE;
+  const deadline = world.now + PLANNED_STOP_PATIENCE;
   const poll = (): void => {
     if (daemon.life !== life) {
       return;
     }
-    const open = daemon.state.requests.active.size;
-    if (open > 0 && world.now < giveUpAt) {
+    const openRequests = daemon.state.requests.active.size;
+    if (openRequests > 0 && world.now < deadline) {
       world.scheduler.after(DRAIN_POLL, poll);
       return;
     }
-    if (open > 0) {
+    if (openRequests > 0) {
       world.history.violate(
         'planned-stop-cuts-nothing',
         world.now,
-        `${daemon.id} stops with ${open} requests open`,
+        `${daemon.id} stopped with ${openRequests} open requests`,
       );
     }
     daemon.crash();
@@ -115,7 +121,7 @@
   world.scheduler.after(LEAST_STOP_TIME, poll);
 }
 
-/** Lets a fault begin now; it is over after `duration`. */
+/** Starts a fault now; faults that last end after `duration`. */
 export function beginFault(world: World, kind: FaultKind, duration: Milliseconds): void {
   const { random } = world;
   const servers = [...world.servers.values()].filter((server) => server.alive);
--- a/src/simulation/figures.ts
+++ b/src/simulation/figures.ts
@@ -1,6 +1,7 @@
 /**
- * Figures of the ownership policy: what one event costs in unavailable time, moved units and imbalance.
- * Deterministic: virtual time and fixed seeds; test/simulation/test-figures.ts holds the bounds.
+ * Measures the ownership policy: what the loss of a process costs in unavailable time, moved units and
+ * imbalance. The results are deterministic (virtual time, fixed seeds); test/simulation/test-figures.ts
+ * checks their bounds.
  */
 import type { Milliseconds } from '../core/identifiers.js';
 import { systemNamed } from '../emulator/systems.js';
@@ -11,7 +12,7 @@
 const SETTLED_AT: Milliseconds = 6_000;
 const MEASURED_FOR: Milliseconds = 12_000;
 
-/** An event that takes something away. */
+/** Events that take away servers or daemons, by crash, drain or planned stop. */
 export const LOSSES = [
   'server',
   'leader',
@@ -23,7 +24,7 @@
 ] as const;
 export type Loss = (typeof LOSSES)[number];
 
-/** What one event cost. Times in milliseconds. */
+/** Cost of one kind of event over several seeds. */
 export interface LossFigures {
   readonly loss: Loss;
   readonly seeds: number;
@@ -31,10 +32,10 @@
   readonly medianOutage: Milliseconds;
   readonly p99Outage: Milliseconds;
   readonly longestOutage: Milliseconds;
-  /** Owner changes, and those of units whose owner was neither lost nor draining. */
   readonly ownerChanges: number;
+  /** Owner changes of units whose owner was neither lost nor draining. */
   readonly needlessChanges: number;
-  /** Most units on a server over the mean, after the event. */
+  /** Highest number of units on a server divided by the mean, after the event. */
   readonly imbalance: number;
 }
 
@@ -60,7 +61,7 @@
   return world.daemons.find((daemon) => daemon.state.leaderships.size > 0);
 }
 
-/** Makes the event happen. Returns the servers whose units must move. */
+/** Triggers an event. Returns the servers whose units must move. */
 function lose(world: World, loss: Loss): Set<string> {
   const servers = keyedServers(world);
   const victim = world.random.pick(servers) ?? '';
@@ -98,8 +99,8 @@
   return new Set(lost);
 }
 
-function percentile(sorted: readonly number[], share: number): number {
-  return sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * share))] ?? 0;
+function percentile(sorted: readonly number[], fraction: number): number {
+  return sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * fraction))] ?? 0;
 }
 
 function imbalanceOf(owners: ReadonlyMap<number, string>, servers: number): number {
@@ -110,7 +111,7 @@
   return Math.max(...counts.values()) / (owners.size / servers);
 }
 
-/** Measures one kind of event over seeds 1 to `seeds`. */
+/** Measures one kind of event with each of the seeds 1 to `seeds`. */
 export function measureLoss(loss: Loss, seeds: number): LossFigures {
   const outages: number[] = [];
   let ownerChanges = 0;
--- a/src/simulation/history.ts
+++ b/src/simulation/history.ts
@@ -1,10 +1,10 @@
 /**
- * What happened in a run, as far as the promises and the figures need it.
+ * The record of a run: requests, violated guarantees and a timeline.
  */
 import type { Outcome } from '../core/effects.js';
 import type { Milliseconds, ServerId } from '../core/identifiers.js';
 
-/** The promises of the users' brief, by short names. */
+/** Names of the guarantees that the checkers verify. */
 export const PROMISES = [
   'single-owner',
   'acknowledged-survives',
@@ -17,28 +17,32 @@
   'served-again-in-time',
 ] as const;
 
-/** The short name of a promise. */
+/** The name of a guarantee. */
 export type PromiseName = (typeof PROMISES)[number];
 
-/** One broken promise. */
+/** A violation of a guarantee. */
 export interface Violation {
   readonly promise: PromiseName;
   readonly at: Milliseconds;
   readonly detail: string;
 }
 
-/** A caller's request. */
+/** A caller's request and its outcome. */
 export interface CallRecord {
   readonly id: number;
   readonly repeatable: boolean;
   readonly startedAt: Milliseconds;
   endedAt: Milliseconds;
-  /** What the caller was told; `null` while open, `broken` when its connection broke. */
+  /**
+   * Outcome that the caller received; `null` while the request is open, `broken` if its connection broke or
+   * timed out.
+   */
   outcome: Outcome | 'broken' | null;
+  /** How often servers have run the request. */
   runs: number;
 }
 
-/** A run's record. */
+/** Records the requests, violations and timeline of a run. */
 export class History {
   readonly violations: Violation[] = [];
   readonly calls = new Map<number, CallRecord>();
@@ -49,20 +53,20 @@
     this.#keepTimeline = keepTimeline;
   }
 
-  /** Notes a line for people. */
+  /** Adds a line to the timeline, if the run keeps one. */
   note(at: Milliseconds, text: string): void {
     if (this.#keepTimeline) {
       this.timeline.push(`${at.toFixed(1).padStart(10)} ms  ${text}`);
     }
   }
 
-  /** Notes a broken promise. */
+  /** Records a violation of a guarantee. */
   violate(promise: PromiseName, at: Milliseconds, detail: string): void {
     this.violations.push({ promise, at, detail });
     this.note(at, `VIOLATION ${promise}: ${detail}`);
   }
 
-  /** A server has run a request. */
+  /** Records that a server has run a request, and checks that the run was allowed. */
   ran(callId: number, server: ServerId, at: Milliseconds): void {
     const call = this.calls.get(callId);
     if (call === undefined) {
@@ -76,12 +80,14 @@
       this.violate(
         'not-run-is-true',
         at,
-        `request ${callId} ran on ${server} after its caller was told not-run`,
+        `request ${callId} ran on ${server} after its caller had received not-run`,
       );
     }
   }
 
-  /** A caller got its final answer. */
+  /**
+   * Records the outcome that a caller received, and checks it. Only the first outcome of a request counts.
+   */
   ended(callId: number, outcome: Outcome | 'broken', at: Milliseconds): void {
     const call = this.calls.get(callId);
     if (call === undefined || call.outcome !== null) {
@@ -90,7 +96,11 @@
     call.outcome = outcome;
     call.endedAt = at;
     if (outcome === 'not-run' && call.runs > 0) {
-      this.violate('not-run-is-true', at, `request ${callId} had run when its caller was told not-run`);
+      this.violate(
+        'not-run-is-true',
+        at,
+        `request ${callId} had already run when its caller received not-run`,
+      );
     }
   }
 }
--- a/src/simulation/mutations.ts
+++ b/src/simulation/mutations.ts
@@ -1,17 +1,17 @@
 /**
- * Planted bugs: one safety rule switched off at a time. Each must be noticed by some checker within a
- * stated number of seeds, which proves that the checkers check.
+ * Planted bugs (mutations): each switches off one safety rule. At least one checker must detect each bug
+ * within a stated number of seeds, which proves that the checkers work.
  */
 import { ALL_RULES, type SafetyRules } from '../core/safety-rules.js';
 import type { FaultKind } from './faults.js';
 
-/** A planted bug and the scenario that provokes it. */
+/** A planted bug and the faults that expose it. */
 export interface Mutation {
   readonly name: string;
   readonly rules: SafetyRules;
   readonly faults: readonly FaultKind[];
   readonly twoSides?: boolean;
-  /** Noticed within this many seeds, from seed 1 on. */
+  /** Number of seeds, starting at 1, within which a checker must detect the bug. */
   readonly seeds: number;
 }
 
@@ -19,7 +19,7 @@
   return { ...ALL_RULES, [rule]: false };
 }
 
-/** Every planted bug. */
+/** All planted bugs. */
 export const MUTATIONS: readonly Mutation[] = [
   {
     name: 'skip-lease-wait',
--- a/src/simulation/network-faults.ts
+++ b/src/simulation/network-faults.ts
@@ -1,4 +1,4 @@
-/** Faults of the network between daemons, and between two sides. */
+/** Network faults between daemons, servers, the store and sides. */
 import type { Milliseconds } from '../core/identifiers.js';
 import { between, leaderOrAny, note } from './fault-helpers.js';
 import type { World } from './world.js';
@@ -19,21 +19,23 @@
   return new Set(names.filter(() => world.random.fraction() < 0.4));
 }
 
-/** Cuts the daemons into two groups, both ways or one way, for a time. */
+/**
+ * Partitions daemons, servers and the store into two random groups for a time, in both directions or in one.
+ */
 export function partition(world: World, duration: Milliseconds, oneWay: boolean): void {
-  const apart = randomSplit(world);
-  const text = `${oneWay ? 'one-way cut' : 'partition'} of ${[...apart].join(' ')}`;
+  const isolated = randomSplit(world);
+  const text = `${oneWay ? 'one-way cut' : 'partition'} of ${[...isolated].join(' ')}`;
   cutFor(world, duration, text, (from, to) => {
     if (from.name === 'callers' || to.name === 'callers') {
       return false;
     }
-    const leaves = apart.has(from.name) && !apart.has(to.name);
-    const enters = !apart.has(from.name) && apart.has(to.name);
+    const leaves = isolated.has(from.name) && !isolated.has(to.name);
+    const enters = !isolated.has(from.name) && isolated.has(to.name);
     return leaves || (enters && !oneWay);
   });
 }
 
-/** Cuts the link between two sides. With one side there is nothing to cut. */
+/** Cuts the link between two sides for a time. Has no effect on a system with one side. */
 export function cutSides(world: World, duration: Milliseconds): void {
   const sideOf = new Map(world.daemons.map((daemon) => [daemon.id, daemon.side]));
   cutFor(world, duration, 'the link between the sides is cut', (from, to) => {
@@ -42,22 +44,25 @@
   });
 }
 
-/** Cuts a leader off from the other daemons but not from the servers: it goes on believing that it leads. */
+/**
+ * Isolates a leader from the other daemons but not from the servers, so that the leader stays unaware of a
+ * successor.
+ */
 export function cutLeader(world: World, duration: Milliseconds): void {
   const leader = leaderOrAny(world);
   if (leader === undefined) {
     return;
   }
   const daemons = new Set(world.daemons.map((daemon) => daemon.id));
-  cutFor(world, duration, `${leader.id} is cut off from the daemons`, (from, to) => {
+  cutFor(world, duration, `${leader.id} is isolated from the other daemons`, (from, to) => {
     const involved = from.name === leader.id || to.name === leader.id;
     return involved && daemons.has(from.name) && daemons.has(to.name);
   });
 }
 
-/** Messages are lost, late and doubled for a time. */
+/** Loses, delays and duplicates messages for a time. */
 export function badNetwork(world: World, duration: Milliseconds): void {
-  note(world, `bad network for ${Math.round(duration)} ms`);
+  note(world, `message loss, duplication and delay for ${Math.round(duration)} ms`);
   const { network, random } = world;
   network.lossShare = between(random, 0, 0.15);
   network.duplicateShare = between(random, 0, 0.3);
--- a/src/simulation/network.ts
+++ b/src/simulation/network.ts
@@ -1,11 +1,12 @@
 /**
- * A network in virtual time: delay, jitter, loss, duplication, reordering, and cuts in one or both directions.
+ * A network in virtual time with delay, jitter, loss, duplication, reordering, and cuts in one or both
+ * directions.
  */
 import type { Milliseconds } from '../core/identifiers.js';
 import type { SeededRandom } from '../core/random.js';
 import type { Scheduler } from './scheduler.js';
 
-/** A name with the zone it stands in. */
+/** A process on the network, with the zone that it runs in. */
 export interface Endpoint {
   readonly name: string;
   readonly zone: string;
@@ -13,7 +14,7 @@
 
 const LOCAL_DELAY: Milliseconds = 0.1;
 
-/** Carries messages between endpoints by name. */
+/** Delivers messages between endpoints. */
 export class Network {
   lossShare = 0;
   duplicateShare = 0;
@@ -32,7 +33,7 @@
     this.#zoneDelay = zoneDelay;
   }
 
-  /** Cuts every direction for which the test is true. Returns what heals the cut. */
+  /** Blocks messages for which `blocks` returns true. Returns a function that ends the cut. */
   cut(blocks: (from: Endpoint, to: Endpoint) => boolean): () => void {
     const id = this.#nextCut;
     this.#nextCut += 1;
@@ -40,7 +41,7 @@
     return () => this.#cuts.delete(id);
   }
 
-  /** Whether a message could go through now. */
+  /** Returns whether no cut blocks messages from one endpoint to another. */
   isOpen(from: Endpoint, to: Endpoint): boolean {
     for (const blocks of this.#cuts.values()) {
       if (blocks(from, to)) {
@@ -50,7 +51,7 @@
     return true;
   }
 
-  /** Delivers a message, perhaps twice, or calls `lost`. */
+  /** Delivers a message, possibly twice, or calls `lost`. */
   deliver(from: Endpoint, to: Endpoint, arrive: () => void, lost: () => void = () => undefined): void {
     this.messages += 1;
     if (!this.isOpen(from, to) || this.#random.fraction() < this.lossShare) {
@@ -63,7 +64,10 @@
     }
   }
 
-  /** Like `deliver`, but never twice: for what runs over one connection. */
+  /**
+   * Delivers a message at most once, or calls `lost`: for traffic over a connection, which never duplicates
+   * data.
+   */
   deliverOnce(from: Endpoint, to: Endpoint, arrive: () => void, lost: () => void): void {
     this.messages += 1;
     if (!this.isOpen(from, to) || this.#random.fraction() < this.lossShare) {
--- a/src/simulation/operator-faults.ts
+++ b/src/simulation/operator-faults.ts
@@ -1,4 +1,4 @@
-/** What operators do at bad moments: two at once, drains, changes in quick succession. */
+/** Operator actions injected as faults: concurrent commands, drains, and bursts of configuration changes. */
 import { editConfiguration } from '../admin/configuration-edits.js';
 import type { Milliseconds } from '../core/identifiers.js';
 import { note } from './fault-helpers.js';
@@ -8,7 +8,7 @@
 const BURST_CHANGES = 30;
 const BURST_SPACING: Milliseconds = 100;
 
-/** Two operators move the same unit and change the same configuration at the same moment. */
+/** Lets two operators move and pin the same unit and key and change the configuration at the same time. */
 export function operatorRace(world: World): void {
   const working = world.daemons.filter((daemon) => daemon.working);
   const group = working[0]?.state.configuration.configuration?.groups.find(
@@ -44,14 +44,14 @@
     field === 'weight'
       ? ({ kind: 'setServer', server, field, value } as const)
       : ({ kind: 'drain', server, draining: value === 1 } as const);
-  const text = editConfiguration(configuration, edit);
-  if (text.isErr()) {
+  const editedText = editConfiguration(configuration, edit);
+  if (editedText.isErr()) {
     return;
   }
   const command = {
     action: 'configure',
     expectedVersion: version,
-    text: text.value,
+    text: editedText.value,
     operator: daemon.id,
   } as const;
   world.command(daemon, command, (accepted, detail) => {
@@ -64,7 +64,7 @@
   });
 }
 
-/** A server is drained, and comes back after a time. */
+/** Drains a random server, and ends the drain after a time. */
 export function drain(world: World, duration: Milliseconds): void {
   const daemon = world.random.pick(world.daemons.filter((candidate) => candidate.working));
   const server = world.random.pick([...world.servers.keys()]);
@@ -74,15 +74,15 @@
   note(world, `drain of ${server}`);
   configure(world, daemon, server, 'draining', 1);
   world.scheduler.after(duration + 6_000, () => {
-    const later = world.random.pick(world.daemons.filter((candidate) => candidate.working));
-    if (later !== undefined) {
+    const secondDaemon = world.random.pick(world.daemons.filter((candidate) => candidate.working));
+    if (secondDaemon !== undefined) {
       world.drainChecker.changed(server, false, world.now);
-      configure(world, later, server, 'draining', 0);
+      configure(world, secondDaemon, server, 'draining', 0);
     }
   });
 }
 
-/** Changes of configuration in quick succession, each through another daemon. */
+/** Changes the configuration in quick succession, each time through a random daemon. */
 export function configurationBurst(world: World): void {
   for (let change = 0; change < BURST_CHANGES; change += 1) {
     world.scheduler.after(change * BURST_SPACING, () => {
--- a/src/simulation/request-carrier.ts
+++ b/src/simulation/request-carrier.ts
@@ -1,6 +1,6 @@
 /**
- * Carries requests in the simulation: from callers to daemons, on to servers or to daemons of another
- * side, and the answers back.
+ * Transports simulated requests from callers to daemons, and from daemons to servers or to daemons of another
+ * side, and transports the responses back.
  */
 import type { ForwardEffect, Outcome } from '../core/effects.js';
 import type { AttemptResult } from '../core/events.js';
@@ -12,20 +12,20 @@
 import type { SimulatedDaemon } from './simulated-daemon.js';
 import type { SimulatedServer } from './simulated-server.js';
 
-/** A connection whose other end is gone is noticed after this long. */
+/** Delay after which a process notices that its peer's end of a connection is gone. */
 const BROKEN_CONNECTION_DELAY: Milliseconds = 300;
 const REFUSED_CONNECTION_DELAY: Milliseconds = 1;
 const CALLER_PATIENCE: Milliseconds = 12_000;
 const CALLERS: Endpoint = { name: 'callers', zone: 'outside' };
 
-/** A caller's request as the simulation makes it. */
+/** A simulated request of a caller. */
 export interface SimulatedCall {
   readonly method: string;
   readonly path: string;
   readonly repeatable: boolean;
 }
 
-/** What the carrier reaches. */
+/** The parts of the simulated system that the transport uses. */
 export interface CarrierSurroundings {
   readonly scheduler: Scheduler;
   readonly network: Network;
@@ -34,15 +34,15 @@
   daemonAt(address: string): SimulatedDaemon | undefined;
 }
 
-/** One request at one daemon. */
+/** A request that a daemon has received and not answered yet. */
 interface OpenRequest {
   readonly call: SimulatedCall;
   readonly callId: number;
-  /** Takes the daemon's answer back to where the request came from. */
+  /** Returns the daemon's response to the sender of the request. */
   readonly answer: (outcome: Outcome) => void;
 }
 
-/** The requests under way. */
+/** Delivers requests and responses, and keeps track of the requests that are open at daemons. */
 export class RequestCarrier {
   readonly #world: CarrierSurroundings;
   readonly #open = new Map<number, OpenRequest>();
@@ -53,7 +53,7 @@
     this.#world = world;
   }
 
-  /** Sends a caller's request to a daemon; without one the caller's connection is broken. */
+  /** Sends a caller's request to a daemon; if there is none, the request ends as `broken`. */
   call(call: SimulatedCall, daemon: SimulatedDaemon | undefined): void {
     const { scheduler, network, history } = this.#world;
     const callId = this.#nextCall;
@@ -69,8 +69,8 @@
     scheduler.after(CALLER_PATIENCE, broken);
     const brokenLater = (): void => scheduler.after(BROKEN_CONNECTION_DELAY, broken);
     const answer = (outcome: Outcome): void => {
-      const told = (): void => history.ended(callId, outcome, scheduler.now);
-      network.deliverOnce(daemon.endpoint, CALLERS, told, brokenLater);
+      const recordOutcome = (): void => history.ended(callId, outcome, scheduler.now);
+      network.deliverOnce(daemon.endpoint, CALLERS, recordOutcome, brokenLater);
     };
     network.deliverOnce(
       CALLERS,
@@ -80,14 +80,14 @@
     );
   }
 
-  /** A daemon answers a request itself. */
+  /** Returns a daemon's final outcome of a request to the sender. */
   answer(requestId: number, outcome: Outcome): void {
     const request = this.#open.get(requestId);
     this.#open.delete(requestId);
     request?.answer(outcome);
   }
 
-  /** A daemon sends a request on. */
+  /** Forwards a daemon's attempt to a server or to a gateway daemon of another side. */
   forward(daemon: SimulatedDaemon, effect: ForwardEffect): void {
     const { scheduler } = this.#world;
     const { requestId, attempt } = effect;
@@ -127,8 +127,16 @@
     this.#open.set(requestId, request);
     const { method, path } = request.call;
     const headers = hops === 0 ? {} : { [HOP_HEADER]: String(hops) };
-    const place = { host: '', query: '' };
-    daemon.dispatch({ kind: 'requestArrived', requestId, method, path, headers, replayable: true, ...place });
+    const target = { host: '', query: '' };
+    daemon.dispatch({
+      kind: 'requestArrived',
+      requestId,
+      method,
+      path,
+      headers,
+      replayable: true,
+      ...target,
+    });
   }
 
   #toOtherSide(
@@ -185,7 +193,10 @@
     this.#breakOnCrash(server, life, ends.lost);
   }
 
-  /** A crash breaks connections; the other end learns of it a little later. */
+  /**
+   * Reports the connection as lost when the peer process has crashed; the crash is noticed after a short
+   * delay.
+   */
   #breakOnCrash(process: { readonly life: number }, life: number, lost: () => void): void {
     this.#world.scheduler.after(BROKEN_CONNECTION_DELAY, () => {
       if (process.life !== life) {
--- a/src/simulation/run.ts
+++ b/src/simulation/run.ts
@@ -1,5 +1,5 @@
 /**
- * One run of one scenario from one seed.
+ * Runs one scenario with one seed.
  */
 import { configurationOf, systemNamed, type SystemShape } from '../emulator/systems.js';
 import type { Milliseconds } from '../core/identifiers.js';
@@ -12,7 +12,10 @@
 
 const SETTLED_AT: Milliseconds = 5_000;
 const FAULTS_UNTIL: Milliseconds = 14_000;
-/** Faults are over and repaired: from here on no unit may be without an owner for longer than allowed. */
+/**
+ * All faults have ended and their effects are repaired by this time. From here on no unit may be unavailable
+ * for longer than `MAX_RECOVERY_TIME`.
+ */
 const QUIET_FROM: Milliseconds = 20_000;
 const QUIET_UNTIL: Milliseconds = 34_000;
 const SERVED_AGAIN_WITHIN: Milliseconds = 2_000;
@@ -25,24 +28,27 @@
   'planned-stop',
   'total-restart',
 ]);
-/** A second crash before the first is repaired would be more than a minority: outside the claim. */
+/**
+ * A second daemon crash before the first is repaired could take down more than a minority of the replicas,
+ * which the guarantees do not cover.
+ */
 const CRASHES_OF_A_RUN = 1;
 
-/** A scenario: which faults may come. */
+/** A named set of faults to inject. */
 export interface Scenario {
   readonly name: string;
-  /** Two sides that hand units over to each other all the while. */
+  /** Simulates two sides that continuously hand units over to each other. */
   readonly twoSides?: boolean;
   readonly faults: readonly FaultKind[];
 }
 
-/** What a run showed. */
+/** The result of a run. */
 export interface RunResult {
   readonly seed: number;
   readonly scenario: string;
   readonly events: number;
   readonly violations: readonly Violation[];
-  /** Longest unavailable time of any unit. */
+  /** Longest time for which any unit was unavailable. */
   readonly longestOutage: Milliseconds;
   readonly ownerChanges: number;
   readonly calls: {
@@ -54,7 +60,7 @@
   readonly timeline: readonly string[];
 }
 
-/** How to run. */
+/** Options of a run. */
 export interface RunOptions {
   readonly scenario: Scenario;
   readonly seed: number;
@@ -63,12 +69,12 @@
   readonly keepTimeline?: boolean;
 }
 
-/** The zones of some daemons, in turn. */
+/** Assigns daemons to zones in round-robin order. */
 export function zonesFor(zones: readonly string[], daemons: number): string[] {
   return Array.from({ length: daemons }, (_, index) => zones[index % zones.length] ?? '');
 }
 
-/** The world of a system with five daemons over its zones. */
+/** Creates a simulated system whose daemons (five by default) are spread over its zones. */
 export function createWorld(
   system: SystemShape,
   options: Omit<RunOptions, 'scenario' | 'system'>,
@@ -89,8 +95,8 @@
   let crashes = 0;
   for (const kind of scenario.faults) {
     const isCrash = CRASHES.has(kind);
-    const wanted = 1 + random.below(MOST_FAULTS_OF_A_KIND);
-    const count = isCrash ? Math.min(wanted, CRASHES_OF_A_RUN - crashes) : wanted;
+    const drawnCount = 1 + random.below(MOST_FAULTS_OF_A_KIND);
+    const count = isCrash ? Math.min(drawnCount, CRASHES_OF_A_RUN - crashes) : drawnCount;
     crashes += isCrash ? Math.max(0, count) : 0;
     for (let index = 0; index < count; index += 1) {
       const at = SETTLED_AT + random.fraction() * (FAULTS_UNTIL - SETTLED_AT - 4_000);
@@ -105,18 +111,18 @@
   world.configurationChecker.atEnd(world.daemons, storeVersionOf, world.now);
   const longest = world.availability.outages().at(-1) ?? 0;
   if (longest > SERVED_AGAIN_WITHIN) {
-    const detail = `a unit had no owner for ${longest} ms though nothing failed any more`;
+    const detail = `a unit was unavailable for ${longest} ms after all faults had ended`;
     world.history.violate('served-again-in-time', world.now, detail);
   }
   const lateCalls = [...world.history.calls.values()].filter((call) => call.startedAt > world.now - 3_000);
   const failed = lateCalls.filter((call) => call.outcome !== 'answered').length;
   if (failed * 20 > lateCalls.length) {
-    const detail = `${failed} of the last ${lateCalls.length} requests were not answered`;
+    const detail = `${failed} of the last ${lateCalls.length} requests got no response from a server`;
     world.history.violate('whole-own-answer', world.now, detail);
   }
 }
 
-/** Runs a scenario. The same options give the same result. */
+/** Runs a scenario. The result is deterministic: the same options give the same result. */
 export function runScenario(options: RunOptions): RunResult {
   const system = systemNamed(options.system);
   const world = options.scenario.twoSides === true ? createTwoSides(options) : createWorld(system, options);
--- a/src/simulation/scenarios.ts
+++ b/src/simulation/scenarios.ts
@@ -1,6 +1,6 @@
 /**
- * Scenarios by name: no fault, each fault alone, each pair of faults as `one+two`, and all of them; with
- * `two-sides` in front, on two sides that hand units over to each other.
+ * Scenarios by name: `calm` without faults, a fault alone, several faults as `one+two`, and `all`. The prefix
+ * `two-sides+` runs the faults on two sides that hand units over to each other.
  */
 import { FAULT_KINDS, type FaultKind } from './faults.js';
 import type { Scenario } from './run.js';
@@ -9,7 +9,7 @@
   return (FAULT_KINDS as readonly string[]).includes(name);
 }
 
-/** The scenario of a name, or undefined. */
+/** Returns the scenario with a name, or undefined if the name is invalid. */
 export function findScenario(name: string): Scenario | undefined {
   if (name === 'calm') {
     return { name, faults: [] };
@@ -23,15 +23,15 @@
   return faults.every(isFaultKind) ? { name, faults, twoSides } : undefined;
 }
 
-/** A cut between sides says nothing on one side. */
+/** Faults that apply to a system with one side: a cut between sides has no effect there. */
 const ONE_SIDE_FAULTS = FAULT_KINDS.filter((kind) => kind !== 'side-cut');
 
-/** Each fault alone. */
+/** Returns a scenario for each fault alone. */
 export function singleFaultScenarios(): Scenario[] {
   return ONE_SIDE_FAULTS.map((kind) => ({ name: kind, faults: [kind] }));
 }
 
-/** Each pair of different faults. */
+/** Returns a scenario for each pair of different faults. */
 export function pairedFaultScenarios(): Scenario[] {
   return ONE_SIDE_FAULTS.flatMap((one, index) =>
     ONE_SIDE_FAULTS.slice(index + 1).map((two) => ({ name: `${one}+${two}`, faults: [one, two] })),
--- a/src/simulation/scheduler.ts
+++ b/src/simulation/scheduler.ts
@@ -1,5 +1,6 @@
 /**
- * Virtual time: actions in order of their time, and of their entry where times are equal.
+ * Virtual time: runs scheduled actions in order of their time, and in order of scheduling where times are
+ * equal.
  */
 import TinyQueue from 'tinyqueue';
 import type { Milliseconds } from '../core/identifiers.js';
@@ -10,9 +11,9 @@
   readonly run: () => void;
 }
 
-/** Runs actions at virtual times. */
+/** A queue of actions that advances virtual time as they run. */
 export class Scheduler {
-  /** The present virtual time. */
+  /** The current virtual time. */
   now: Milliseconds = 0;
   #order = 0;
   #executed = 0;
@@ -21,18 +22,18 @@
     (left, right) => left.at - right.at || left.order - right.order,
   );
 
-  /** How many actions have run. */
+  /** Number of actions that have run. */
   get executed(): number {
     return this.#executed;
   }
 
-  /** Runs an action after a delay. */
+  /** Schedules an action to run after a delay. */
   after(delay: Milliseconds, run: () => void): void {
     this.#order += 1;
     this.#queue.push({ at: this.now + Math.max(0, delay), order: this.#order, run });
   }
 
-  /** Runs everything up to a time. */
+  /** Runs all actions that are due up to a time. */
   runUntil(end: Milliseconds): void {
     for (let next = this.#queue.peek(); next !== undefined && next.at <= end; next = this.#queue.peek()) {
       this.#queue.pop();
--- a/src/simulation/simulated-daemon.ts
+++ b/src/simulation/simulated-daemon.ts
@@ -1,5 +1,5 @@
 /**
- * A daemon in virtual time: the reducer that ships, with the simulation behind its effects.
+ * A daemon in virtual time: runs the production reducer and lets the simulation perform its effects.
  */
 import { createDaemonState, type DaemonState } from '../core/daemon-state.js';
 import type { Effect } from '../core/effects.js';
@@ -12,12 +12,12 @@
 import type { Scheduler } from './scheduler.js';
 import { SimulatedProcess } from './simulated-process.js';
 
-/** Performs the effects of a daemon. */
+/** Performs one effect of a daemon. */
 export type EffectHandler = (daemon: SimulatedDaemon, effect: Effect) => void;
-/** Looks at a daemon after each event. */
+/** Inspects a daemon after each of its events. */
 export type DaemonObserver = (daemon: SimulatedDaemon) => void;
 
-/** What a simulated daemon is made of. */
+/** Options of a simulated daemon. */
 export interface SimulatedDaemonOptions {
   readonly endpoint: Endpoint;
   readonly side: string;
@@ -31,10 +31,10 @@
   readonly observe: DaemonObserver;
 }
 
-/** A simulated daemon. */
+/** A simulated daemon process. */
 export class SimulatedDaemon extends SimulatedProcess {
   state: DaemonState;
-  /** Takes no new requests: a planned stop is under way. */
+  /** True during a planned stop: the daemon accepts no new requests. */
   stopping = false;
   readonly #options: SimulatedDaemonOptions;
 
@@ -45,17 +45,17 @@
     this.#scheduleTick();
   }
 
-  /** The daemon's name, which is its address too. */
+  /** The daemon's name, which is also its address. */
   get id(): DaemonId {
     return this.endpoint.name;
   }
 
-  /** The side it belongs to. */
+  /** The side that the daemon belongs to. */
   get side(): string {
     return this.#options.side;
   }
 
-  /** Takes one event in, when the daemon gets to it. */
+  /** Processes one event: at once, or when the daemon resumes if it is paused. */
   dispatch(event: DaemonEvent): void {
     this.within(() => {
       const effects = reduce(this.state, { now: this.clock, event });
--- a/src/simulation/simulated-process.ts
+++ b/src/simulation/simulated-process.ts
@@ -1,17 +1,18 @@
 /**
- * What simulated daemons and servers share: a clock that drifts, and a life that can be paused, ended and
- * begun anew. What reaches a paused process waits, as in its socket buffers, until it goes on.
+ * Base class of simulated daemons and servers: a process with a drifting clock that can be paused, crashed
+ * and restarted. Messages that reach a paused process are deferred until it resumes, as they would be in its
+ * socket buffers.
  */
 import type { Milliseconds } from '../core/identifiers.js';
 import type { Endpoint } from './network.js';
 import type { Scheduler } from './scheduler.js';
 
-/** A process with a clock of its own. */
+/** A process with its own clock. */
 export abstract class SimulatedProcess {
   readonly endpoint: Endpoint;
   alive = true;
   paused = false;
-  /** Counts lives: what was meant for an earlier one is dropped. */
+  /** Incarnation number: messages and timers for an earlier incarnation are dropped. */
   life = 1;
   protected readonly scheduler: Scheduler;
   #clockRate: number;
@@ -25,17 +26,17 @@
     this.#clockOffset = clockOffset;
   }
 
-  /** The process's own steady clock. */
+  /** The reading of the process's own monotonic clock. */
   get clock(): Milliseconds {
     return this.scheduler.now * this.#clockRate + this.#clockOffset;
   }
 
-  /** Takes part now: it runs and is not paused. */
+  /** Whether the process is alive and not paused. */
   get working(): boolean {
     return this.alive && !this.paused;
   }
 
-  /** Runs an action in the process: now, when it goes on, or never if this life ends first. */
+  /** Runs an action in the process: at once, on resume if it is paused, or never if it crashes first. */
   within(action: () => void): void {
     const { life } = this;
     if (!this.alive) {
@@ -48,7 +49,7 @@
     action();
   }
 
-  /** Runs an action after a delay, if this life still lasts. */
+  /** Runs an action after a delay, unless the process crashes first. */
   later(delay: Milliseconds, action: () => void): void {
     const { life } = this;
     this.scheduler.after(delay, () => {
@@ -58,22 +59,22 @@
     });
   }
 
-  /** Stops without noticing. */
+  /** Pauses the process, which itself cannot notice the pause. */
   pause(): void {
     this.paused = true;
   }
 
-  /** Goes on, first with all that waited. */
+  /** Resumes the process and runs the deferred actions first. */
   resume(): void {
     this.paused = false;
-    const waiting = this.#waiting;
+    const deferred = this.#waiting;
     this.#waiting = [];
-    for (const action of waiting) {
+    for (const action of deferred) {
       this.within(action);
     }
   }
 
-  /** Ends at once. */
+  /** Ends the process at once and drops the deferred actions. */
   crash(): void {
     this.alive = false;
     this.paused = false;
@@ -81,12 +82,12 @@
     this.#waiting = [];
   }
 
-  /** Begins a new life with nothing kept. */
+  /** Starts a new incarnation that keeps no state. */
   restart(): void {
     this.alive = true;
     this.onStart();
   }
 
-  /** Called at the beginning of each life. */
+  /** Called when the process is restarted, to reset its state. */
   protected abstract onStart(): void;
 }
--- a/src/simulation/simulated-server.ts
+++ b/src/simulation/simulated-server.ts
@@ -1,6 +1,6 @@
 /**
- * A server in virtual time: the same model of grants and leases as the emulated process, with slots and
- * service times.
+ * A server in virtual time: shares the model of grants and leases with the emulated server process, and adds
+ * concurrency slots and service times.
  */
 import type { FencingToken } from '../core/effects.js';
 import type { Milliseconds } from '../core/identifiers.js';
@@ -11,11 +11,11 @@
 const SERVICE_TIME: Milliseconds = 2;
 const LONGEST_QUEUE = 64;
 
-/** How a request ended at a server. */
+/** The result of a request at a server. */
 export type ServiceResult =
   { readonly kind: 'ran' } | { readonly kind: 'refused'; readonly reason: RequestRefusal };
 
-/** A simulated server. */
+/** A simulated server process. */
 export class SimulatedServer extends SimulatedProcess {
   model = new ServerModel(1);
   slots = 2;
@@ -26,12 +26,12 @@
   #running = 0;
   #queue: (() => void)[] = [];
 
-  /** Answers a leader's call. */
+  /** Handles a leader's control request. */
   control(request: ControlRequest): ControlReply {
     return this.model.control(request, this.clock);
   }
 
-  /** Takes a request; `done` is called when it ends, unless the server's life ends first. */
+  /** Serves a request; calls `done` with the result, unless the server crashes first. */
   serve(callId: number, token: FencingToken | null, done: (result: ServiceResult) => void): void {
     const refusal = this.#queue.length >= LONGEST_QUEUE ? 'overloaded' : this.model.admit(token, this.clock);
     if (refusal !== null) {
--- a/src/simulation/simulated-store.ts
+++ b/src/simulation/simulated-store.ts
@@ -1,5 +1,5 @@
 /**
- * The platform's store in virtual time, with the faults of the emulated one.
+ * The platform's object store in virtual time, with the same faults as the emulated store process.
  */
 import type { ReadObjectEffect, WriteObjectEffect } from '../core/effects.js';
 import type { ObjectReadEvent, ObjectWrittenEvent } from '../core/events.js';
@@ -27,7 +27,10 @@
     this.#network = network;
   }
 
-  /** Reads for a daemon; the answer, or its absence, becomes an event of that daemon. */
+  /**
+   * Reads an object for a daemon; dispatches the response, or the lack of one within the timeout, as an
+   * event.
+   */
   read(daemon: SimulatedDaemon, effect: ReadObjectEffect): void {
     const { name, afterVersion } = effect;
     const event = (result: ObjectReadEvent['result']): ObjectReadEvent => ({
@@ -35,8 +38,8 @@
       name,
       result,
     });
-    const patience = CALL_TIMEOUT + (afterVersion === null ? 0 : WATCH_TIME);
-    const conclude = this.#once(daemon, event, patience);
+    const timeout = CALL_TIMEOUT + (afterVersion === null ? 0 : WATCH_TIME);
+    const conclude = this.#once(daemon, event, timeout);
     const answer = (): void => {
       const object = this.model.read(name);
       this.#network.deliverOnce(
@@ -63,18 +66,18 @@
     );
   }
 
-  /** Writes for a daemon by compare-and-swap. */
+  /** Writes an object for a daemon by compare-and-swap; dispatches the result as an event. */
   write(daemon: SimulatedDaemon, effect: WriteObjectEffect): void {
     const { name, expectedVersion, writeId, value } = effect;
-    type Fate = Pick<ObjectWrittenEvent, 'result' | 'version'>;
-    const event = (fate: Fate | null): ObjectWrittenEvent => ({
+    type WriteResult = Pick<ObjectWrittenEvent, 'result' | 'version'>;
+    const event = (writeResult: WriteResult | null): ObjectWrittenEvent => ({
       kind: 'objectWritten',
       name,
       writeId,
-      ...(fate ?? { result: 'unknown', version: 0 }),
+      ...(writeResult ?? { result: 'unknown', version: 0 }),
     });
     const conclude = this.#once(daemon, event, CALL_TIMEOUT);
-    const refused: Fate = { result: 'refused', version: 0 };
+    const refused: WriteResult = { result: 'refused', version: 0 };
     this.#arrive(
       daemon,
       () => conclude(refused),
@@ -83,25 +86,27 @@
         if (this.fault === 'lose-answers') {
           return;
         }
-        const fate: Fate =
+        const writeResult: WriteResult =
           outcome.kind === 'written'
             ? { result: 'written', version: outcome.version }
             : { result: 'conflict', version: 0 };
         this.#network.deliverOnce(
           this.endpoint,
           daemon.endpoint,
-          () => conclude(fate),
+          () => conclude(writeResult),
           () => undefined,
         );
       },
     );
   }
 
-  /** Makes a call end once: with an answer or, after its patience, without. */
+  /**
+   * Returns a callback that completes a store request at most once: with a response, or with null on timeout.
+   */
   #once<Answer, Event extends ObjectReadEvent | ObjectWrittenEvent>(
     daemon: SimulatedDaemon,
     event: (answer: Answer | null) => Event,
-    patience: Milliseconds,
+    timeout: Milliseconds,
   ): (answer: Answer | null) => void {
     const { life } = daemon;
     let open = true;
@@ -111,16 +116,16 @@
         daemon.dispatch(event(answer));
       }
     };
-    this.#scheduler.after(patience, () => conclude(null));
+    this.#scheduler.after(timeout, () => conclude(null));
     return conclude;
   }
 
-  #arrive(daemon: SimulatedDaemon, refuse: () => void, act: () => void): void {
+  #arrive(daemon: SimulatedDaemon, refuse: () => void, execute: () => void): void {
     const arrive = (): void => {
       if (this.fault === 'down') {
         this.#scheduler.after(REFUSAL_DELAY, refuse);
       } else {
-        this.#scheduler.after(this.fault === 'slow' ? SLOW_DELAY : 0, act);
+        this.#scheduler.after(this.fault === 'slow' ? SLOW_DELAY : 0, execute);
       }
     };
     this.#network.deliverOnce(daemon.endpoint, this.endpoint, arrive, () => undefined);
--- a/src/simulation/two-sides.ts
+++ b/src/simulation/two-sides.ts
@@ -1,5 +1,5 @@
 /**
- * Two sides with a store each, between which units are handed over while faults come.
+ * Simulates two sides, each with its own store, that hand units over to each other while faults are injected.
  */
 import { configurationOf, systemNamed } from '../emulator/systems.js';
 import type { RoutingConfiguration } from '../core/configuration/routing-configuration.js';
@@ -28,7 +28,7 @@
   return { ...configuration, groups, sides: [{ name: other, daemons: addresses, gateways: addresses }] };
 }
 
-/** The same groups on the other side, on servers of its own. */
+/** Returns the configuration of the second side: the same groups on separate servers. */
 function otherConfiguration(configuration: RoutingConfiguration): RoutingConfiguration {
   const groups = configuration.groups.map((group) => ({
     ...group,
@@ -41,7 +41,7 @@
   return { ...configuration, groups };
 }
 
-/** A world of two sides; the first owns every unit at the beginning. */
+/** Creates a simulated system with two sides; the first side owns every unit initially. */
 export function createTwoSides(options: Omit<RunOptions, 'scenario'>): World {
   const system = systemNamed(options.system);
   const configuration = configurationOf(system, (position) => `127.0.0.1:${20_000 + position}`);
@@ -64,7 +64,7 @@
   });
 }
 
-/** Hands random units over, in both directions, until a time. */
+/** Hands over random units, in both directions, until a time. */
 export function startHandOvers(world: World, until: Milliseconds): void {
   const next = (): void => {
     if (world.now >= until) {
--- a/src/simulation/workload.ts
+++ b/src/simulation/workload.ts
@@ -1,5 +1,5 @@
 /**
- * Callers of the simulated system: open-loop arrivals over the routes of its configuration.
+ * The workload of the simulated system: open-loop request arrivals over the routes of its configuration.
  */
 import type { RoutingConfiguration } from '../core/configuration/routing-configuration.js';
 import type { Milliseconds } from '../core/identifiers.js';
@@ -7,7 +7,7 @@
 
 const KEYS = 500;
 
-/** Sends requests at a rate until a time. */
+/** Sends requests at an average rate (Poisson arrivals) until a time. */
 export function startWorkload(
   world: World,
   configuration: RoutingConfiguration,
@@ -23,8 +23,8 @@
       const path = route.path.replace(/:\w+/, `key-${world.random.below(KEYS)}`).replace('*', 'item');
       world.call({ method: route.methods[0] ?? 'GET', path, repeatable: route.repeatable });
     }
-    const mean = 1_000 / requestsPerSecond;
-    world.scheduler.after(-Math.log(1 - world.random.fraction()) * mean, next);
+    const meanInterval = 1_000 / requestsPerSecond;
+    world.scheduler.after(-Math.log(1 - world.random.fraction()) * meanInterval, next);
   };
   world.scheduler.after(0, next);
 }
--- a/src/simulation/world.ts
+++ b/src/simulation/world.ts
@@ -1,5 +1,6 @@
 /**
- * A whole system in virtual time: daemons, servers, store, callers and operators, all from one seed.
+ * Simulates a whole system in virtual time: daemons, servers, the store, callers and operators. One seed
+ * determines the entire run.
  */
 import type { Effect } from '../core/effects.js';
 import type { OperatorCommand } from '../core/events.js';
@@ -18,13 +19,13 @@
 import { SimulatedServer } from './simulated-server.js';
 import { SimulatedStore } from './simulated-store.js';
 
-/** Clocks run fast or slow by up to this share. */
+/** Maximum drift of a process's clock against virtual time, in either direction, as a fraction. */
 const CLOCK_DRIFT = 0.01;
 const LARGEST_CLOCK_OFFSET: Milliseconds = 1_000_000;
-/** A drain is in force everywhere after this long. */
+/** Time by which an accepted drain must be in force on every daemon. */
 const DRAIN_GRACE: Milliseconds = 5_000;
 
-/** One side of a world: a store with its configuration, and daemons. */
+/** One side of the simulated system: a store with its configuration, and daemons. */
 export interface SideOptions {
   readonly name: string;
   readonly configuration: RoutingConfiguration;
@@ -32,7 +33,7 @@
   readonly daemonZones: readonly string[];
 }
 
-/** What a world is made of. */
+/** Options of the simulated system. */
 export interface WorldOptions {
   readonly seed: number;
   readonly sides: readonly [SideOptions, ...SideOptions[]];
@@ -41,12 +42,12 @@
   readonly keepTimeline?: boolean;
 }
 
-/** Names of a side's daemons, which are their addresses too. */
+/** Returns the names of a side's daemons. The names are also the daemons' addresses. */
 export function daemonNames(zones: readonly string[]): string[] {
   return zones.map((zone, index) => `${zone}-${index + 1}`);
 }
 
-/** A simulated daemon's address in the form that configurations allow. */
+/** Returns a simulated daemon's address as host:port, the form that configurations require. */
 export function configuredAddress(sideIndex: number, daemonIndex: number): string {
   return `10.0.${sideIndex}.${daemonIndex}:1`;
 }
@@ -57,7 +58,7 @@
   readonly random: SeededRandom;
   readonly network: Network;
   readonly history: History;
-  /** The store of each side, by the side's name. */
+  /** Stores by the name of their side. */
   readonly stores = new Map<string, SimulatedStore>();
   /** The store of the first side. */
   readonly store: SimulatedStore;
@@ -89,13 +90,13 @@
       this.servers.set(server.id, this.#createServer({ name: server.id, zone: server.zone }));
     }
     const keyed = firstSide.configuration.groups.filter((group) => group.kind === 'keyed');
-    // A group of the same name on two sides is one group: its units have one owner in all.
-    const serversOf = keyed.map(({ name }) =>
+    // Groups with the same name on two sides form one group: each unit has one owner across both sides.
+    const keyedServers = keyed.map(({ name }) =>
       groups
         .filter((group) => group.name === name)
         .flatMap((group) => group.servers.map(({ id }) => this.server(id))),
     );
-    this.#ownerChecker = new SingleOwnerChecker(this.history, serversOf);
+    this.#ownerChecker = new SingleOwnerChecker(this.history, keyedServers);
     this.#acknowledgedChecker = new AcknowledgedChecker(this.history, (side, shard) => {
       const value = this.stores.get(side)?.model.read(shardObjectName(shard)).value ?? '';
       return parseShardObject(value);
@@ -105,19 +106,19 @@
     this.#carrier = new RequestCarrier(this);
     const [firstKeyed] = keyed;
     if (firstKeyed === undefined) {
-      throw new Error('a simulated configuration needs a keyed group');
+      throw new Error('the simulated configuration has no keyed group');
     }
     this.availability = new AvailabilitySampler(firstKeyed);
     options.sides.forEach((side, index) => this.#createDaemons(options, side, index));
     this.#sampleAvailability();
   }
 
-  /** Virtual time. */
+  /** The current virtual time. */
   get now(): Milliseconds {
     return this.scheduler.now;
   }
 
-  /** A server by name. */
+  /** Returns a server by id; throws if there is none. */
   server(id: string): SimulatedServer {
     const server = this.servers.get(id);
     if (server === undefined) {
@@ -126,26 +127,26 @@
     return server;
   }
 
-  /** The daemon at an address: its name, or the form that configurations use. */
+  /** Returns the daemon at an address, given as the daemon's name or as host:port. */
   daemonAt(address: string): SimulatedDaemon | undefined {
     return this.#daemonsByAddress.get(address);
   }
 
-  /** Sends a caller's request to a daemon that takes requests. */
+  /** Sends a caller's request to a random daemon that accepts requests. */
   call(request: SimulatedCall): void {
-    const open = this.daemons.filter((candidate) => candidate.alive && !candidate.stopping);
-    this.#carrier.call(request, this.random.pick(open));
+    const accepting = this.daemons.filter((candidate) => candidate.alive && !candidate.stopping);
+    this.#carrier.call(request, this.random.pick(accepting));
   }
 
-  /** Gives an operator's command to a daemon. */
+  /** Sends an operator's command to a daemon; `onResult` receives the command's result. */
   command(
     daemon: SimulatedDaemon,
     command: OperatorCommand,
-    told: (accepted: boolean, detail: string) => void = () => undefined,
+    onResult: (accepted: boolean, detail: string) => void = () => undefined,
   ): void {
     const commandId = this.#nextCommand;
     this.#nextCommand += 1;
-    this.#commands.set(commandId, told);
+    this.#commands.set(commandId, onResult);
     daemon.dispatch({ kind: 'operatorCommand', commandId, command });
   }
 
@@ -239,7 +240,7 @@
     const server = this.server(effect.server);
     const { life } = daemon;
     const { shard, term } = effect.request;
-    const arrive = (): void =>
+    const execute = (): void =>
       server.within(() => {
         const reply = server.control(effect.request);
         this.#ownerChecker.afterControl(server, this.now);
@@ -250,6 +251,6 @@
           () => daemon.life === life && daemon.dispatch(event),
         );
       });
-    this.network.deliver(daemon.endpoint, server.endpoint, arrive);
+    this.network.deliver(daemon.endpoint, server.endpoint, execute);
   }
 }
--- a/test/simulation/test-formation.ts
+++ b/test/simulation/test-formation.ts
@@ -3,8 +3,8 @@
 import { systemNamed } from '../../src/emulator/systems.js';
 import { createWorld } from '../../src/simulation/run.js';
 
-describe('forming a shard', () => {
-  it('succeeds although the messages to the other replicas were lost at first', () => {
+describe('shard formation', () => {
+  it('succeeds when the first messages between the replicas are lost', () => {
     for (const seed of [1, 2, 3]) {
       const world = createWorld(systemNamed(), { seed });
       world.scheduler.runUntil(1_000);
--- a/test/simulation/test-scenarios.ts
+++ b/test/simulation/test-scenarios.ts
@@ -3,16 +3,16 @@
 import { runScenario } from '../../src/simulation/run.js';
 import { findScenario, singleFaultScenarios } from '../../src/simulation/scenarios.js';
 
-/** Seeds that once broke a promise, with the scenario; each must stay whole. */
-const FORMER_FAILURES: readonly (readonly [string, number])[] = [
+/** Scenarios and seeds that violated a guarantee in the past. */
+const PAST_FAILURES: readonly (readonly [string, number])[] = [
   ['one-way-cut', 2],
   ['leader-crash+network-bad', 6],
   ['store-down+network-bad', 6],
 ];
 
-describe('promises in simulation', () => {
+describe('guarantees in simulation', () => {
   for (const scenario of singleFaultScenarios()) {
-    it(`hold under ${scenario.name}, two seeds`, () => {
+    it(`hold under ${scenario.name} with two seeds`, () => {
       for (const seed of [101, 102]) {
         expect(runScenario({ scenario, seed }).violations).toEqual([]);
       }
@@ -32,20 +32,20 @@
     'two-sides+network-bad',
     'two-sides+configuration-burst',
   ]) {
-    it(`hold under ${name}: hand-overs in both directions all the while`, () => {
+    it(`hold under ${name} during continuous hand-overs in both directions`, () => {
       const scenario = findScenario(name);
       expect(scenario && runScenario({ scenario, seed: 103 }).violations).toEqual([]);
     });
   }
 
-  for (const [name, seed] of FORMER_FAILURES) {
-    it(`hold in ${name}, seed ${seed}, which once broke one`, () => {
+  for (const [name, seed] of PAST_FAILURES) {
+    it(`hold under ${name} with seed ${seed}, which once violated a guarantee`, () => {
       const scenario = findScenario(name);
       expect(scenario && runScenario({ scenario, seed }).violations).toEqual([]);
     });
   }
 
-  it('gives the same run for the same seed', () => {
+  it('are checked in deterministic runs: the same seed gives the same run', () => {
     const run = { scenario: { name: 'mixed', faults: ['partition', 'server-crash'] as const }, seed: 11 };
     const [one, two] = [runScenario(run), runScenario(run)];
     expect(one.events).toEqual(two.events);
