--- a/src/command-line/emulate-command.ts
+++ b/src/command-line/emulate-command.ts
@@ -6,7 +6,7 @@
 import { isNumber } from 'typanion';
 import { INSTANT_BEHAVIOUR, ServerProcess } from '../emulator/server-process.js';
 import { startStoreProcess } from '../emulator/store-process.js';
-import { configurationOf, findSystem, SYSTEMS, type SystemShape } from '../emulator/systems.js';
+import { routingConfigurationOf, findSystem, SYSTEMS, type SystemDescription } from '../emulator/systems.js';
 import { EXIT_BAD_INPUT, EXIT_OK } from './exit-codes.js';
 
 const DEFAULT_READERS = 8;
@@ -27,7 +27,7 @@
     description: 'Port of the first server; the others use the ports after it',
   });
 
-  protected findSystem(): SystemShape | null {
+  protected findSystem(): SystemDescription | null {
     const system = findSystem(this.system);
     if (system === undefined) {
       const names = SYSTEMS.map((known) => known.name).join(', ');
@@ -36,8 +36,8 @@
     return system ?? null;
   }
 
-  protected configuration(system: SystemShape): ReturnType<typeof configurationOf> {
-    return configurationOf(system, (position) => `127.0.0.1:${this.serverPorts + position}`);
+  protected configuration(system: SystemDescription): ReturnType<typeof routingConfigurationOf> {
+    return routingConfigurationOf(system, (position) => `127.0.0.1:${this.serverPorts + position}`);
   }
 }
 
@@ -64,7 +64,7 @@
     const routing = JSON.stringify(this.configuration(system));
     const stop = await startStoreProcess({
       address: this.address,
-      mostReaders: this.readers,
+      maxWaitingReaders: this.readers,
       objects: { routing },
     });
     this.context.stdout.write(`emulated store of ${system.name} listening on ${this.address}\n`);
--- a/src/command-line/load-command.ts
+++ b/src/command-line/load-command.ts
@@ -3,7 +3,7 @@
  */
 import { Command, Option } from 'clipanion';
 import { isNumber } from 'typanion';
-import { configurationOf, findSystem, SYSTEMS } from '../emulator/systems.js';
+import { routingConfigurationOf, findSystem, SYSTEMS } from '../emulator/systems.js';
 import { LoadRun, type LoadResults } from '../load/load-run.js';
 import { EXIT_BAD_INPUT, EXIT_OK } from './exit-codes.js';
 import { formatRows } from './table-format.js';
@@ -69,7 +69,7 @@
       this.context.stderr.write(`${flagError ?? `--system: found ${this.system}`}\n`);
       return EXIT_BAD_INPUT;
     }
-    const { routes } = configurationOf(system, () => '127.0.0.1:1');
+    const { routes } = routingConfigurationOf(system, () => '127.0.0.1:1');
     const results = await new LoadRun({
       targets: this.targets.split(','),
       routes,
--- a/src/emulator/systems.ts
+++ b/src/emulator/systems.ts
@@ -1,31 +1,31 @@
 /**
- * The two users' systems at today's sizes, by name: their zones, their groups of servers and routes to
- * them. The figures come from the users' brief; slots and routes are this project's choice.
+ * The systems that can be emulated, by name: their zones, server groups and routes. Sizes and delays are
+ * those of two users' systems; the concurrency of the servers and the routes are assumptions.
  */
 import type { RoutingConfiguration } from '../core/configuration/routing-configuration.js';
 import { validateRoutingConfiguration } from '../core/configuration/routing-configuration.js';
 import { DEFAULT_BEHAVIOUR, type ServerBehaviour } from './server-process.js';
 
-interface GroupShape {
+interface GroupDescription {
   readonly name: string;
   readonly kind: 'keyed' | 'balanced';
   readonly servers: number;
 }
 
-/** A user's system. */
-export interface SystemShape {
+/** Description of a system. */
+export interface SystemDescription {
   readonly name: string;
   readonly zones: readonly string[];
-  readonly groups: readonly GroupShape[];
+  readonly groups: readonly GroupDescription[];
   readonly behaviour: ServerBehaviour;
-  /** One way, between two zones. */
+  /** One-way delay between two zones. */
   readonly zoneDelayMilliseconds: number;
-  /** One way, to clients. */
+  /** One-way delay between callers and daemons. */
   readonly clientDelayMilliseconds: number;
   readonly routes: readonly object[];
 }
 
-const KLANG_VALLEY: SystemShape = {
+const KLANG_VALLEY: SystemDescription = {
   name: 'klang-valley',
   zones: ['bilik-a', 'bilik-b', 'bilik-c'],
   groups: [
@@ -45,7 +45,7 @@
   ],
 };
 
-const GT_CENTRAL: SystemShape = {
+const GT_CENTRAL: SystemDescription = {
   name: 'gt-central',
   zones: ['zona-uno', 'mixco-sala', 'villanueva-sala'],
   groups: [
@@ -64,8 +64,8 @@
   ],
 };
 
-/** Every system that can be started by name. */
-export const SYSTEMS: readonly SystemShape[] = [KLANG_VALLEY, GT_CENTRAL];
+/** All systems that can be started by name. */
+export const SYSTEMS: readonly SystemDescription[] = [KLANG_VALLEY, GT_CENTRAL];
 
 function route(
   name: string,
@@ -76,8 +76,8 @@
   repeatable: boolean,
   priority: string,
 ): object {
-  const keyPlace = key === null ? {} : { key: { from: 'path', name: key } };
-  return { name, path, methods, group, ...keyPlace, repeatable, priority };
+  const keySource = key === null ? {} : { key: { from: 'path', name: key } };
+  return { name, path, methods, group, ...keySource, repeatable, priority };
 }
 
 function twoDigits(position: number): string {
@@ -85,11 +85,11 @@
 }
 
 /**
- * The routing configuration of a system.
- * @param addressOf the address of the server at a position, counted over all groups
+ * Returns the routing configuration of a system.
+ * @param addressOf returns the address of a server by its position, counted over all groups
  */
-export function configurationOf(
-  system: SystemShape,
+export function routingConfigurationOf(
+  system: SystemDescription,
   addressOf: (position: number) => string,
 ): RoutingConfiguration {
   let position = 0;
@@ -111,16 +111,16 @@
   return validateRoutingConfiguration({ groups, routes: system.routes })._unsafeUnwrap();
 }
 
-/** The system of a name, or undefined. */
-export function findSystem(name: string): SystemShape | undefined {
+/** Returns the system with a name, or undefined. */
+export function findSystem(name: string): SystemDescription | undefined {
   return SYSTEMS.find((system) => system.name === name);
 }
 
-/** The system of a name; the device lab when none is given. */
-export function systemNamed(name = 'klang-valley'): SystemShape {
+/** Returns the system with a name, `klang-valley` by default; throws if there is none. */
+export function getSystem(name = 'klang-valley'): SystemDescription {
   const system = findSystem(name);
   if (system === undefined) {
-    throw new Error(`no system ${name}`);
+    throw new Error(`unknown system ${name}`);
   }
   return system;
 }
--- a/src/simulation/faults.ts
+++ b/src/simulation/faults.ts
@@ -1,16 +1,16 @@
 /**
- * What fails, from the users' brief, as faults that begin at some time and are over some time later.
+ * Faults that the simulation injects. Each fault starts at a given time and ends after a given duration.
  */
 import type { Milliseconds } from '../core/identifiers.js';
 import type { StoreFault } from '../emulator/store-model.js';
-import { leaderOrAny, note } from './fault-helpers.js';
-import { badNetwork, cutLeader, cutSides, partition } from './network-faults.js';
-import { configurationBurst, drain, operatorRace } from './operator-faults.js';
+import { leaderOrRandomDaemon, logFault } from './fault-helpers.js';
+import { degradeNetwork, isolateLeader, cutLinkBetweenSides, partition } from './network-faults.js';
+import { runConfigurationBurst, drainRandomServer, runConcurrentCommands } from './operator-faults.js';
 import type { SimulatedDaemon } from './simulated-daemon.js';
 import type { SimulatedProcess } from './simulated-process.js';
 import type { World } from './world.js';
 
-/** Every kind of fault. */
+/** All kinds of faults. */
 export const FAULT_KINDS = [
   'daemon-crash',
   'leader-crash',
@@ -35,129 +35,135 @@
 
 export type FaultKind = (typeof FAULT_KINDS)[number];
 
-const DRAIN_POLL: Milliseconds = 20;
-/** A stopping process lives at least this long, so that what it said goes out. */
-const LEAST_STOP_TIME: Milliseconds = 200;
-const PLANNED_STOP_PATIENCE: Milliseconds = 10_000;
+const DRAIN_POLL_INTERVAL: Milliseconds = 20;
+/**
+ * Minimum time from the start of a planned stop to the exit, so that the daemon's messages are sent before it
+ * exits.
+ */
+const MIN_STOP_TIME: Milliseconds = 200;
+const PLANNED_STOP_TIMEOUT: Milliseconds = 10_000;
 
-function crash(world: World, process: SimulatedProcess | undefined, downFor: Milliseconds): void {
+function crashProcess(world: World, process: SimulatedProcess | undefined, downFor: Milliseconds): void {
   if (process?.alive !== true) {
     return;
   }
-  note(world, `${process.endpoint.name} crashes for ${Math.round(downFor)} ms`);
+  logFault(world, `${process.endpoint.name} crashes for ${Math.round(downFor)} ms`);
   process.crash();
   world.scheduler.after(downFor, () => {
-    note(world, `${process.endpoint.name} starts again`);
+    logFault(world, `${process.endpoint.name} restarts`);
     process.restart();
   });
 }
 
-function pause(world: World, process: SimulatedProcess | undefined, duration: Milliseconds): void {
+function pauseProcess(world: World, process: SimulatedProcess | undefined, duration: Milliseconds): void {
   if (process === undefined || !process.working) {
     return;
   }
-  note(world, `${process.endpoint.name} is paused for ${Math.round(duration)} ms`);
+  logFault(world, `${process.endpoint.name} is paused for ${Math.round(duration)} ms`);
   const { life } = process;
   process.pause();
   world.scheduler.after(duration, () => {
     if (process.life === life) {
-      note(world, `${process.endpoint.name} goes on`);
+      logFault(world, `${process.endpoint.name} resumes`);
       process.resume();
     }
   });
 }
 
-function storeFault(world: World, fault: StoreFault, duration: Milliseconds): void {
-  note(world, `store ${fault} for ${Math.round(duration)} ms`);
+function injectStoreFault(world: World, fault: StoreFault, duration: Milliseconds): void {
+  logFault(world, `store fault ${fault} for ${Math.round(duration)} ms`);
   world.store.fault = fault;
   world.scheduler.after(duration, () => {
     world.store.fault = 'none';
   });
 }
 
-/** Some daemon is stopped as planned. */
-function plannedStop(world: World): void {
+/** Stops a random working daemon gracefully. */
+function stopRandomDaemon(world: World): void {
   const daemon = world.random.pick(
     world.daemons.filter((candidate) => candidate.working && !candidate.stopping),
   );
-  stopAsPlanned(world, daemon);
+  stopGracefully(world, daemon);
 }
 
-/** Stops a daemon as planned: it takes no new requests, finishes what it has, and is replaced. */
-export function stopAsPlanned(world: World, daemon: SimulatedDaemon | undefined): void {
+/**
+ * Stops a daemon gracefully: the daemon accepts no new requests, finishes its open requests, and is
+ * restarted.
+ */
+export function stopGracefully(world: World, daemon: SimulatedDaemon | undefined): void {
   if (daemon === undefined) {
     return;
   }
-  note(world, `${daemon.id} is stopped as planned`);
+  logFault(world, `planned stop of ${daemon.id}`);
   daemon.stopping = true;
   daemon.dispatch({ kind: 'stopping' });
   const { life } = daemon;
-  const giveUpAt = world.now + PLANNED_STOP_PATIENCE;
+  const deadline = world.now + PLANNED_STOP_TIMEOUT;
   const poll = (): void => {
     if (daemon.life !== life) {
       return;
     }
-    const open = daemon.state.requests.active.size;
-    if (open > 0 && world.now < giveUpAt) {
-      world.scheduler.after(DRAIN_POLL, poll);
+    const openRequests = daemon.state.requests.active.size;
+    if (openRequests > 0 && world.now < deadline) {
+      world.scheduler.after(DRAIN_POLL_INTERVAL, poll);
       return;
     }
-    if (open > 0) {
-      world.history.violate(
+    if (openRequests > 0) {
+      world.history.recordViolation(
         'planned-stop-cuts-nothing',
         world.now,
-        `${daemon.id} stops with ${open} requests open`,
+        `${daemon.id} stopped with ${openRequests} open requests`,
       );
     }
     daemon.crash();
-    world.scheduler.after(DRAIN_POLL, () => daemon.restart());
+    world.scheduler.after(DRAIN_POLL_INTERVAL, () => daemon.restart());
   };
-  world.scheduler.after(LEAST_STOP_TIME, poll);
+  world.scheduler.after(MIN_STOP_TIME, poll);
 }
 
-/** Lets a fault begin now; it is over after `duration`. */
-export function beginFault(world: World, kind: FaultKind, duration: Milliseconds): void {
+/** Starts a fault now; faults that last end after `duration`. */
+export function injectFault(world: World, kind: FaultKind, duration: Milliseconds): void {
   const { random } = world;
   const servers = [...world.servers.values()].filter((server) => server.alive);
   const daemons = world.daemons.filter((daemon) => daemon.alive && !daemon.stopping);
   switch (kind) {
     case 'daemon-crash':
-      return crash(world, random.pick(daemons), duration);
+      return crashProcess(world, random.pick(daemons), duration);
     case 'leader-crash':
-      return crash(world, leaderOrAny(world), duration);
+      return crashProcess(world, leaderOrRandomDaemon(world), duration);
     case 'daemon-pause':
-      return pause(world, random.pick(daemons), duration);
+      return pauseProcess(world, random.pick(daemons), duration);
     case 'leader-pause':
-      return pause(world, leaderOrAny(world), duration);
+      return pauseProcess(world, leaderOrRandomDaemon(world), duration);
     case 'server-crash':
-      return crash(world, random.pick(servers), duration);
+      return crashProcess(world, random.pick(servers), duration);
     case 'server-freeze':
-      return pause(world, random.pick(servers), duration);
+      return pauseProcess(world, random.pick(servers), duration);
     case 'partition':
       return partition(world, duration, false);
     case 'one-way-cut':
       return partition(world, duration, true);
     case 'total-restart':
-      return daemons.forEach((daemon) => crash(world, daemon, duration));
+      return daemons.forEach((daemon) => crashProcess(world, daemon, duration));
     case 'side-cut':
-      return cutSides(world, duration);
+      return cutLinkBetweenSides(world, duration);
     case 'leader-cut':
-      return cutLeader(world, duration);
+      return isolateLeader(world, duration);
     case 'store-down':
-      return storeFault(world, 'down', duration);
+      return injectStoreFault(world, 'down', duration);
     case 'store-slow':
-      return storeFault(world, 'slow', duration);
+      return injectStoreFault(world, 'slow', duration);
     case 'store-lose-answers':
-      return storeFault(world, 'lose-answers', duration);
+      return injectStoreFault(world, 'lose-answers', duration);
     case 'network-bad':
-      return badNetwork(world, duration);
+      return degradeNetwork(world, duration);
     case 'operator-race':
-      return operatorRace(world);
+      return runConcurrentCommands(world);
     case 'configuration-burst':
-      return configurationBurst(world);
+      return runConfigurationBurst(world);
     case 'drain':
-      return drain(world, duration);
+      return drainRandomServer(world, duration);
     case 'planned-stop':
-      return plannedStop(world);
+      return stopRandomDaemon(world);
   }
 }
--- a/src/simulation/figures.ts
+++ b/src/simulation/figures.ts
@@ -1,17 +1,18 @@
 /**
- * Figures of the ownership policy: what one event costs in unavailable time, moved units and imbalance.
- * Deterministic: virtual time and fixed seeds; test/simulation/test-figures.ts holds the bounds.
+ * Measures the ownership policy: what the loss of a process costs in unavailable time, moved units and
+ * imbalance. The results are deterministic (virtual time, fixed seeds); test/simulation/test-figures.ts
+ * checks their bounds.
  */
 import type { Milliseconds } from '../core/identifiers.js';
-import { systemNamed } from '../emulator/systems.js';
-import { stopAsPlanned } from './faults.js';
+import { getSystem } from '../emulator/systems.js';
+import { stopGracefully } from './faults.js';
 import { createWorld } from './run.js';
 import type { World } from './world.js';
 
-const SETTLED_AT: Milliseconds = 6_000;
-const MEASURED_FOR: Milliseconds = 12_000;
+const LOSS_AT: Milliseconds = 6_000;
+const MEASURING_TIME: Milliseconds = 12_000;
 
-/** An event that takes something away. */
+/** Events that take away servers or daemons, by crash, drain or planned stop. */
 export const LOSSES = [
   'server',
   'leader',
@@ -23,7 +24,7 @@
 ] as const;
 export type Loss = (typeof LOSSES)[number];
 
-/** What one event cost. Times in milliseconds. */
+/** Cost of one kind of event over several seeds. */
 export interface LossFigures {
   readonly loss: Loss;
   readonly seeds: number;
@@ -31,14 +32,14 @@
   readonly medianOutage: Milliseconds;
   readonly p99Outage: Milliseconds;
   readonly longestOutage: Milliseconds;
-  /** Owner changes, and those of units whose owner was neither lost nor draining. */
   readonly ownerChanges: number;
+  /** Owner changes of units whose owner was neither lost nor draining. */
   readonly needlessChanges: number;
-  /** Most units on a server over the mean, after the event. */
+  /** Highest number of units on a server divided by the mean, after the event. */
   readonly imbalance: number;
 }
 
-function keyedServers(world: World): string[] {
+function keyedServerIds(world: World): string[] {
   const [first] = world.daemons;
   const group = first?.state.configuration.configuration?.groups.find(
     (candidate) => candidate.kind === 'keyed',
@@ -46,7 +47,7 @@
   return (group?.servers ?? []).map((server) => server.id);
 }
 
-function ownersOf(world: World): Map<number, string> {
+function ownersByUnit(world: World): Map<number, string> {
   const working = world.daemons.find((daemon) => daemon.working);
   const tables = [...(working?.state.tables.shards.values() ?? [])];
   return new Map(
@@ -56,50 +57,50 @@
   );
 }
 
-function leader(world: World): World['daemons'][number] | undefined {
+function findLeader(world: World): World['daemons'][number] | undefined {
   return world.daemons.find((daemon) => daemon.state.leaderships.size > 0);
 }
 
-/** Makes the event happen. Returns the servers whose units must move. */
-function lose(world: World, loss: Loss): Set<string> {
-  const servers = keyedServers(world);
+/** Triggers an event. Returns the servers whose units must move. */
+function triggerLoss(world: World, loss: Loss): Set<string> {
+  const servers = keyedServerIds(world);
   const victim = world.random.pick(servers) ?? '';
   switch (loss) {
     case 'server':
       world.server(victim).crash();
       return new Set([victim]);
     case 'leader':
-      leader(world)?.crash();
+      findLeader(world)?.crash();
       return new Set();
     case 'server-and-leader':
       world.server(victim).crash();
-      leader(world)?.crash();
+      findLeader(world)?.crash();
       return new Set([victim]);
     case 'server-with-store-down':
       world.store.fault = 'down';
       world.server(victim).crash();
       return new Set([victim]);
     case 'zone':
-      return loseZone(world, servers);
+      return crashLeaderZone(world, servers);
     case 'drain':
-      world.server(victim).model.leaving = true;
+      world.server(victim).model.draining = true;
       return new Set([victim]);
     case 'leader-stopped':
-      stopAsPlanned(world, leader(world));
+      stopGracefully(world, findLeader(world));
       return new Set();
   }
 }
 
-function loseZone(world: World, servers: readonly string[]): Set<string> {
-  const zone = leader(world)?.endpoint.zone ?? '';
+function crashLeaderZone(world: World, servers: readonly string[]): Set<string> {
+  const zone = findLeader(world)?.endpoint.zone ?? '';
   world.daemons.filter((daemon) => daemon.endpoint.zone === zone).forEach((daemon) => daemon.crash());
   const lost = servers.filter((id) => world.server(id).endpoint.zone === zone);
   lost.forEach((id) => world.server(id).crash());
   return new Set(lost);
 }
 
-function percentile(sorted: readonly number[], share: number): number {
-  return sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * share))] ?? 0;
+function percentile(sorted: readonly number[], fraction: number): number {
+  return sorted[Math.min(sorted.length - 1, Math.floor(sorted.length * fraction))] ?? 0;
 }
 
 function imbalanceOf(owners: ReadonlyMap<number, string>, servers: number): number {
@@ -110,25 +111,25 @@
   return Math.max(...counts.values()) / (owners.size / servers);
 }
 
-/** Measures one kind of event over seeds 1 to `seeds`. */
+/** Measures one kind of event with each of the seeds 1 to `seeds`. */
 export function measureLoss(loss: Loss, seeds: number): LossFigures {
   const outages: number[] = [];
   let ownerChanges = 0;
   let needlessChanges = 0;
   let imbalance = 0;
   for (let seed = 1; seed <= seeds; seed += 1) {
-    const world = createWorld(systemNamed(), { seed }, 6);
-    world.scheduler.runUntil(SETTLED_AT);
-    const before = ownersOf(world);
+    const world = createWorld(getSystem(), { seed }, 6);
+    world.scheduler.runUntil(LOSS_AT);
+    const before = ownersByUnit(world);
     world.availability.reset();
-    const lost = lose(world, loss);
-    world.scheduler.runUntil(SETTLED_AT + MEASURED_FOR);
-    const after = ownersOf(world);
+    const lost = triggerLoss(world, loss);
+    world.scheduler.runUntil(LOSS_AT + MEASURING_TIME);
+    const after = ownersByUnit(world);
     outages.push(...world.availability.outages());
     const changed = [...after].filter(([unit, owner]) => before.get(unit) !== owner);
     ownerChanges += changed.length;
     needlessChanges += changed.filter(([unit]) => !lost.has(before.get(unit) ?? '')).length;
-    imbalance = Math.max(imbalance, imbalanceOf(after, keyedServers(world).length - lost.size));
+    imbalance = Math.max(imbalance, imbalanceOf(after, keyedServerIds(world).length - lost.size));
   }
   outages.sort((left, right) => left - right);
   return {
--- a/src/simulation/operator-faults.ts
+++ b/src/simulation/operator-faults.ts
@@ -1,15 +1,15 @@
-/** What operators do at bad moments: two at once, drains, changes in quick succession. */
+/** Operator actions injected as faults: concurrent commands, drains, and bursts of configuration changes. */
 import { editConfiguration } from '../admin/configuration-edits.js';
 import type { Milliseconds } from '../core/identifiers.js';
-import { note } from './fault-helpers.js';
+import { logFault } from './fault-helpers.js';
 import type { SimulatedDaemon } from './simulated-daemon.js';
 import type { World } from './world.js';
 
 const BURST_CHANGES = 30;
-const BURST_SPACING: Milliseconds = 100;
+const BURST_INTERVAL: Milliseconds = 100;
 
-/** Two operators move the same unit and change the same configuration at the same moment. */
-export function operatorRace(world: World): void {
+/** Lets two operators move and pin the same unit and key and change the configuration at the same time. */
+export function runConcurrentCommands(world: World): void {
   const working = world.daemons.filter((daemon) => daemon.working);
   const group = working[0]?.state.configuration.configuration?.groups.find(
     (candidate) => candidate.kind === 'keyed',
@@ -22,14 +22,19 @@
     const daemon = world.random.pick(working);
     const target = world.random.pick(group.servers);
     if (daemon !== undefined && target !== undefined) {
-      world.command(daemon, { action: 'move', group: group.name, unit, target: target.id });
-      world.command(daemon, { action: 'pin', group: group.name, key: `hot-${unit}`, target: target.id });
-      configure(world, daemon, target.id, 'weight', 1 + operator);
+      world.sendOperatorCommand(daemon, { action: 'move', group: group.name, unit, target: target.id });
+      world.sendOperatorCommand(daemon, {
+        action: 'pin',
+        group: group.name,
+        key: `hot-${unit}`,
+        target: target.id,
+      });
+      changeServerSetting(world, daemon, target.id, 'weight', 1 + operator);
     }
   }
 }
 
-function configure(
+function changeServerSetting(
   world: World,
   daemon: SimulatedDaemon,
   server: string,
@@ -44,17 +49,17 @@
     field === 'weight'
       ? ({ kind: 'setServer', server, field, value } as const)
       : ({ kind: 'drain', server, draining: value === 1 } as const);
-  const text = editConfiguration(configuration, edit);
-  if (text.isErr()) {
+  const editedText = editConfiguration(configuration, edit);
+  if (editedText.isErr()) {
     return;
   }
   const command = {
     action: 'configure',
     expectedVersion: version,
-    text: text.value,
+    text: editedText.value,
     operator: daemon.id,
   } as const;
-  world.command(daemon, command, (accepted, detail) => {
+  world.sendOperatorCommand(daemon, command, (accepted, detail) => {
     if (accepted) {
       world.configurationChecker.accepted(daemon.side, Number(/configuration (\d+)/.exec(detail)?.[1] ?? 0));
       if (field === 'draining') {
@@ -64,32 +69,32 @@
   });
 }
 
-/** A server is drained, and comes back after a time. */
-export function drain(world: World, duration: Milliseconds): void {
+/** Drains a random server, and ends the drain after a time. */
+export function drainRandomServer(world: World, duration: Milliseconds): void {
   const daemon = world.random.pick(world.daemons.filter((candidate) => candidate.working));
   const server = world.random.pick([...world.servers.keys()]);
   if (daemon === undefined || server === undefined) {
     return;
   }
-  note(world, `drain of ${server}`);
-  configure(world, daemon, server, 'draining', 1);
+  logFault(world, `drain of ${server}`);
+  changeServerSetting(world, daemon, server, 'draining', 1);
   world.scheduler.after(duration + 6_000, () => {
-    const later = world.random.pick(world.daemons.filter((candidate) => candidate.working));
-    if (later !== undefined) {
+    const secondDaemon = world.random.pick(world.daemons.filter((candidate) => candidate.working));
+    if (secondDaemon !== undefined) {
       world.drainChecker.changed(server, false, world.now);
-      configure(world, later, server, 'draining', 0);
+      changeServerSetting(world, secondDaemon, server, 'draining', 0);
     }
   });
 }
 
-/** Changes of configuration in quick succession, each through another daemon. */
-export function configurationBurst(world: World): void {
+/** Changes the configuration in quick succession, each time through a random daemon. */
+export function runConfigurationBurst(world: World): void {
   for (let change = 0; change < BURST_CHANGES; change += 1) {
-    world.scheduler.after(change * BURST_SPACING, () => {
+    world.scheduler.after(change * BURST_INTERVAL, () => {
       const daemon = world.random.pick(world.daemons.filter((candidate) => candidate.working));
       const server = world.random.pick([...world.servers.keys()]);
       if (daemon !== undefined && server !== undefined) {
-        configure(world, daemon, server, 'weight', 1);
+        changeServerSetting(world, daemon, server, 'weight', 1);
       }
     });
   }
--- a/src/simulation/request-carrier.ts
+++ b/src/simulation/request-transport.ts
@@ -1,6 +1,6 @@
 /**
- * Carries requests in the simulation: from callers to daemons, on to servers or to daemons of another
- * side, and the answers back.
+ * Transports simulated requests from callers to daemons, and from daemons to servers or to daemons of another
+ * side, and transports the responses back.
  */
 import type { ForwardEffect, Outcome } from '../core/effects.js';
 import type { AttemptResult } from '../core/events.js';
@@ -12,21 +12,21 @@
 import type { SimulatedDaemon } from './simulated-daemon.js';
 import type { SimulatedServer } from './simulated-server.js';
 
-/** A connection whose other end is gone is noticed after this long. */
+/** Delay after which a process notices that its peer's end of a connection is gone. */
 const BROKEN_CONNECTION_DELAY: Milliseconds = 300;
 const REFUSED_CONNECTION_DELAY: Milliseconds = 1;
-const CALLER_PATIENCE: Milliseconds = 12_000;
+const CALLER_TIMEOUT: Milliseconds = 12_000;
 const CALLERS: Endpoint = { name: 'callers', zone: 'outside' };
 
-/** A caller's request as the simulation makes it. */
+/** A simulated request of a caller. */
 export interface SimulatedCall {
   readonly method: string;
   readonly path: string;
   readonly repeatable: boolean;
 }
 
-/** What the carrier reaches. */
-export interface CarrierSurroundings {
+/** The parts of the simulated system that the transport uses. */
+export interface TransportDependencies {
   readonly scheduler: Scheduler;
   readonly network: Network;
   readonly history: History;
@@ -34,26 +34,26 @@
   daemonAt(address: string): SimulatedDaemon | undefined;
 }
 
-/** One request at one daemon. */
+/** A request that a daemon has received and not answered yet. */
 interface OpenRequest {
   readonly call: SimulatedCall;
   readonly callId: number;
-  /** Takes the daemon's answer back to where the request came from. */
+  /** Returns the daemon's response to the sender of the request. */
   readonly answer: (outcome: Outcome) => void;
 }
 
-/** The requests under way. */
-export class RequestCarrier {
-  readonly #world: CarrierSurroundings;
+/** Delivers requests and responses, and keeps track of the requests that are open at daemons. */
+export class RequestTransport {
+  readonly #world: TransportDependencies;
   readonly #open = new Map<number, OpenRequest>();
   #nextRequest = 1;
   #nextCall = 1;
 
-  constructor(world: CarrierSurroundings) {
+  constructor(world: TransportDependencies) {
     this.#world = world;
   }
 
-  /** Sends a caller's request to a daemon; without one the caller's connection is broken. */
+  /** Sends a caller's request to a daemon; if there is none, the request ends as `broken`. */
   call(call: SimulatedCall, daemon: SimulatedDaemon | undefined): void {
     const { scheduler, network, history } = this.#world;
     const callId = this.#nextCall;
@@ -66,28 +66,28 @@
       broken();
       return;
     }
-    scheduler.after(CALLER_PATIENCE, broken);
+    scheduler.after(CALLER_TIMEOUT, broken);
     const brokenLater = (): void => scheduler.after(BROKEN_CONNECTION_DELAY, broken);
     const answer = (outcome: Outcome): void => {
-      const told = (): void => history.ended(callId, outcome, scheduler.now);
-      network.deliverOnce(daemon.endpoint, CALLERS, told, brokenLater);
+      const recordOutcome = (): void => history.ended(callId, outcome, scheduler.now);
+      network.deliverOnce(daemon.endpoint, CALLERS, recordOutcome, brokenLater);
     };
     network.deliverOnce(
       CALLERS,
       daemon.endpoint,
-      () => this.#arrive(daemon, { call, callId, answer }, 0),
+      () => this.#deliverToDaemon(daemon, { call, callId, answer }, 0),
       brokenLater,
     );
   }
 
-  /** A daemon answers a request itself. */
+  /** Returns a daemon's final outcome of a request to the sender. */
   answer(requestId: number, outcome: Outcome): void {
     const request = this.#open.get(requestId);
     this.#open.delete(requestId);
     request?.answer(outcome);
   }
 
-  /** A daemon sends a request on. */
+  /** Forwards a daemon's attempt to a server or to a gateway daemon of another side. */
   forward(daemon: SimulatedDaemon, effect: ForwardEffect): void {
     const { scheduler } = this.#world;
     const { requestId, attempt } = effect;
@@ -115,27 +115,35 @@
         conclude({ kind: 'notSent', reason: 'connection refused' }),
       );
     if (effect.toOtherSide) {
-      this.#toOtherSide(daemon, effect, request, { conclude, lost, refuse });
+      this.#forwardToOtherSide(daemon, effect, request, { conclude, lost, refuse });
     } else {
-      this.#toServer(daemon, effect, request.callId, { conclude, lost, refuse });
+      this.#forwardToServer(daemon, effect, request.callId, { conclude, lost, refuse });
     }
   }
 
-  #arrive(daemon: SimulatedDaemon, request: OpenRequest, hops: number): void {
+  #deliverToDaemon(daemon: SimulatedDaemon, request: OpenRequest, hops: number): void {
     const requestId = this.#nextRequest;
     this.#nextRequest += 1;
     this.#open.set(requestId, request);
     const { method, path } = request.call;
     const headers = hops === 0 ? {} : { [HOP_HEADER]: String(hops) };
-    const place = { host: '', query: '' };
-    daemon.dispatch({ kind: 'requestArrived', requestId, method, path, headers, replayable: true, ...place });
+    const target = { host: '', query: '' };
+    daemon.dispatch({
+      kind: 'requestArrived',
+      requestId,
+      method,
+      path,
+      headers,
+      replayable: true,
+      ...target,
+    });
   }
 
-  #toOtherSide(
+  #forwardToOtherSide(
     daemon: SimulatedDaemon,
     effect: ForwardEffect,
     request: OpenRequest,
-    ends: AttemptEnds,
+    ends: AttemptCallbacks,
   ): void {
     const { network } = this.#world;
     const gateway = this.#world.daemonAt(effect.address);
@@ -145,22 +153,27 @@
     }
     const { life } = gateway;
     const answer = (outcome: Outcome): void => {
-      const result = resultOfOtherSide(outcome);
+      const result = attemptResultFromOutcome(outcome);
       network.deliverOnce(gateway.endpoint, daemon.endpoint, () => ends.conclude(result), ends.lost);
     };
     const { call, callId } = request;
     const arrive = (): void => {
       if (gateway.life === life) {
-        this.#arrive(gateway, { call, callId, answer }, effect.hops);
+        this.#deliverToDaemon(gateway, { call, callId, answer }, effect.hops);
       } else {
         ends.lost();
       }
     };
     network.deliverOnce(daemon.endpoint, gateway.endpoint, arrive, ends.lost);
-    this.#breakOnCrash(gateway, life, ends.lost);
+    this.#reportLossOnCrash(gateway, life, ends.lost);
   }
 
-  #toServer(daemon: SimulatedDaemon, effect: ForwardEffect, callId: number, ends: AttemptEnds): void {
+  #forwardToServer(
+    daemon: SimulatedDaemon,
+    effect: ForwardEffect,
+    callId: number,
+    ends: AttemptCallbacks,
+  ): void {
     const { network } = this.#world;
     const server = this.#world.server(effect.server);
     if (!server.alive) {
@@ -176,17 +189,20 @@
       });
     const arrive = (): void => {
       if (server.life === life) {
-        server.within(serve);
+        server.runWhenActive(serve);
       } else {
         ends.lost();
       }
     };
     network.deliverOnce(daemon.endpoint, server.endpoint, arrive, ends.lost);
-    this.#breakOnCrash(server, life, ends.lost);
+    this.#reportLossOnCrash(server, life, ends.lost);
   }
 
-  /** A crash breaks connections; the other end learns of it a little later. */
-  #breakOnCrash(process: { readonly life: number }, life: number, lost: () => void): void {
+  /**
+   * Reports the connection as lost when the peer process has crashed; the crash is noticed after a short
+   * delay.
+   */
+  #reportLossOnCrash(process: { readonly life: number }, life: number, lost: () => void): void {
     this.#world.scheduler.after(BROKEN_CONNECTION_DELAY, () => {
       if (process.life !== life) {
         lost();
@@ -195,13 +211,13 @@
   }
 }
 
-interface AttemptEnds {
+interface AttemptCallbacks {
   readonly conclude: (result: AttemptResult) => void;
   readonly lost: () => void;
   readonly refuse: () => void;
 }
 
-function resultOfOtherSide(outcome: Outcome): AttemptResult {
+function attemptResultFromOutcome(outcome: Outcome): AttemptResult {
   if (outcome === 'answered') {
     return { kind: 'answered' };
   }
--- a/src/simulation/two-sides.ts
+++ b/src/simulation/two-sides.ts
@@ -1,59 +1,59 @@
 /**
- * Two sides with a store each, between which units are handed over while faults come.
+ * Simulates two sides, each with its own store, that hand units over to each other while faults are injected.
  */
-import { configurationOf, systemNamed } from '../emulator/systems.js';
+import { routingConfigurationOf, getSystem } from '../emulator/systems.js';
 import type { RoutingConfiguration } from '../core/configuration/routing-configuration.js';
 import type { Milliseconds } from '../core/identifiers.js';
 import type { RunOptions } from './run.js';
 import { configuredAddress, World, type SideOptions } from './world.js';
 
-const DAEMONS_OF_A_SIDE = 3;
-const OTHER_ZONES = ['kota-a', 'kota-b', 'kota-c'];
-const OTHER_SIDE = 'kota-tinggi';
+const DAEMONS_PER_SIDE = 3;
+const SECOND_SIDE_ZONES = ['kota-a', 'kota-b', 'kota-c'];
+const SECOND_SIDE = 'kota-tinggi';
 const HAND_OVER_INTERVAL: Milliseconds = 150;
-const FIRST_HAND_OVER: Milliseconds = 5_000;
+const FIRST_HAND_OVER_AT: Milliseconds = 5_000;
 
-function addressesOf(sideIndex: number): string[] {
-  return Array.from({ length: DAEMONS_OF_A_SIDE }, (_, index) => configuredAddress(sideIndex, index));
+function daemonAddresses(sideIndex: number): string[] {
+  return Array.from({ length: DAEMONS_PER_SIDE }, (_, index) => configuredAddress(sideIndex, index));
 }
 
-function withSides(
+function withOtherSide(
   configuration: RoutingConfiguration,
   home: string,
   other: string,
   otherIndex: number,
 ): RoutingConfiguration {
-  const addresses = addressesOf(otherIndex);
+  const addresses = daemonAddresses(otherIndex);
   const groups = configuration.groups.map((group) => (group.kind === 'keyed' ? { ...group, home } : group));
   return { ...configuration, groups, sides: [{ name: other, daemons: addresses, gateways: addresses }] };
 }
 
-/** The same groups on the other side, on servers of its own. */
-function otherConfiguration(configuration: RoutingConfiguration): RoutingConfiguration {
+/** Returns the configuration of the second side: the same groups on separate servers. */
+function secondSideConfiguration(configuration: RoutingConfiguration): RoutingConfiguration {
   const groups = configuration.groups.map((group) => ({
     ...group,
     servers: group.servers.slice(0, 6).map((server, index) => ({
       ...server,
       id: `kota-${server.id}`,
-      zone: OTHER_ZONES[index % OTHER_ZONES.length] ?? '',
+      zone: SECOND_SIDE_ZONES[index % SECOND_SIDE_ZONES.length] ?? '',
     })),
   }));
   return { ...configuration, groups };
 }
 
-/** A world of two sides; the first owns every unit at the beginning. */
-export function createTwoSides(options: Omit<RunOptions, 'scenario'>): World {
-  const system = systemNamed(options.system);
-  const configuration = configurationOf(system, (position) => `127.0.0.1:${20_000 + position}`);
+/** Creates a simulated system with two sides; the first side owns every unit initially. */
+export function createTwoSidedWorld(options: Omit<RunOptions, 'scenario'>): World {
+  const system = getSystem(options.system);
+  const configuration = routingConfigurationOf(system, (position) => `127.0.0.1:${20_000 + position}`);
   const first: SideOptions = {
     name: system.name,
-    configuration: withSides(configuration, system.name, OTHER_SIDE, 1),
-    daemonZones: system.zones.slice(0, DAEMONS_OF_A_SIDE),
+    configuration: withOtherSide(configuration, system.name, SECOND_SIDE, 1),
+    daemonZones: system.zones.slice(0, DAEMONS_PER_SIDE),
   };
   const second: SideOptions = {
-    name: OTHER_SIDE,
-    configuration: withSides(otherConfiguration(configuration), system.name, system.name, 0),
-    daemonZones: OTHER_ZONES,
+    name: SECOND_SIDE,
+    configuration: withOtherSide(secondSideConfiguration(configuration), system.name, system.name, 0),
+    daemonZones: SECOND_SIDE_ZONES,
   };
   return new World({
     seed: options.seed,
@@ -64,7 +64,7 @@
   });
 }
 
-/** Hands random units over, in both directions, until a time. */
+/** Hands over random units, in both directions, until a time. */
 export function startHandOvers(world: World, until: Milliseconds): void {
   const next = (): void => {
     if (world.now >= until) {
@@ -77,9 +77,9 @@
     const [other] = daemon?.state.configuration.configuration?.sides ?? [];
     if (daemon !== undefined && group !== undefined && other !== undefined) {
       const unit = world.random.integerBelow(group.slots);
-      world.command(daemon, { action: 'handOver', group: group.name, unit, target: other.name });
+      world.sendOperatorCommand(daemon, { action: 'handOver', group: group.name, unit, target: other.name });
     }
     world.scheduler.after(HAND_OVER_INTERVAL, next);
   };
-  world.scheduler.after(FIRST_HAND_OVER, next);
+  world.scheduler.after(FIRST_HAND_OVER_AT, next);
 }
--- a/src/simulation/workload.ts
+++ b/src/simulation/workload.ts
@@ -1,13 +1,13 @@
 /**
- * Callers of the simulated system: open-loop arrivals over the routes of its configuration.
+ * The workload of the simulated system: open-loop request arrivals over the routes of its configuration.
  */
 import type { RoutingConfiguration } from '../core/configuration/routing-configuration.js';
 import type { Milliseconds } from '../core/identifiers.js';
 import type { World } from './world.js';
 
-const KEYS = 500;
+const KEY_COUNT = 500;
 
-/** Sends requests at a rate until a time. */
+/** Sends requests at an average rate (Poisson arrivals) until a time. */
 export function startWorkload(
   world: World,
   configuration: RoutingConfiguration,
@@ -20,11 +20,13 @@
     }
     const route = world.random.pick(configuration.routes);
     if (route !== undefined) {
-      const path = route.path.replace(/:\w+/, `key-${world.random.integerBelow(KEYS)}`).replace('*', 'item');
+      const path = route.path
+        .replace(/:\w+/, `key-${world.random.integerBelow(KEY_COUNT)}`)
+        .replace('*', 'item');
       world.call({ method: route.methods[0] ?? 'GET', path, repeatable: route.repeatable });
     }
-    const mean = 1_000 / requestsPerSecond;
-    world.scheduler.after(-Math.log(1 - world.random.fraction()) * mean, next);
+    const meanInterval = 1_000 / requestsPerSecond;
+    world.scheduler.after(-Math.log(1 - world.random.fraction()) * meanInterval, next);
   };
   world.scheduler.after(0, next);
 }
--- a/src/simulation/world.ts
+++ b/src/simulation/world.ts
@@ -1,5 +1,6 @@
 /**
- * A whole system in virtual time: daemons, servers, store, callers and operators, all from one seed.
+ * Simulates a whole system in virtual time: daemons, servers, the store, callers and operators. One seed
+ * determines the entire run.
  */
 import type { Effect } from '../core/effects.js';
 import type { OperatorCommand } from '../core/events.js';
@@ -9,22 +10,27 @@
 import { SeededRandom } from '../core/random.js';
 import { ALL_RULES, type SafetyRules } from '../core/safety-rules.js';
 import { AvailabilitySampler, SAMPLE_INTERVAL } from './availability.js';
-import { AcknowledgedChecker, ConfigurationChecker, DrainChecker, SingleOwnerChecker } from './checkers.js';
+import {
+  AcknowledgedUnitsChecker,
+  ConfigurationChecker,
+  DrainChecker,
+  SingleOwnerChecker,
+} from './checkers.js';
 import { History } from './history.js';
 import { Network, type Endpoint } from './network.js';
-import { RequestCarrier, type SimulatedCall } from './request-carrier.js';
+import { RequestTransport, type SimulatedCall } from './request-transport.js';
 import { Scheduler } from './scheduler.js';
 import { SimulatedDaemon } from './simulated-daemon.js';
 import { SimulatedServer } from './simulated-server.js';
 import { SimulatedStore } from './simulated-store.js';
 
-/** Clocks run fast or slow by up to this share. */
-const CLOCK_DRIFT = 0.01;
-const LARGEST_CLOCK_OFFSET: Milliseconds = 1_000_000;
-/** A drain is in force everywhere after this long. */
+/** Maximum drift of a process's clock against virtual time, in either direction, as a fraction. */
+const MAX_CLOCK_DRIFT = 0.01;
+const MAX_CLOCK_OFFSET: Milliseconds = 1_000_000;
+/** Time by which an accepted drain must be in force on every daemon. */
 const DRAIN_GRACE: Milliseconds = 5_000;
 
-/** One side of a world: a store with its configuration, and daemons. */
+/** One side of the simulated system: a store with its configuration, and daemons. */
 export interface SideOptions {
   readonly name: string;
   readonly configuration: RoutingConfiguration;
@@ -32,7 +38,7 @@
   readonly daemonZones: readonly string[];
 }
 
-/** What a world is made of. */
+/** Options of the simulated system. */
 export interface WorldOptions {
   readonly seed: number;
   readonly sides: readonly [SideOptions, ...SideOptions[]];
@@ -41,12 +47,12 @@
   readonly keepTimeline?: boolean;
 }
 
-/** Names of a side's daemons, which are their addresses too. */
+/** Returns the names of a side's daemons. The names are also the daemons' addresses. */
 export function daemonNames(zones: readonly string[]): string[] {
   return zones.map((zone, index) => `${zone}-${index + 1}`);
 }
 
-/** A simulated daemon's address in the form that configurations allow. */
+/** Returns a simulated daemon's address as host:port, the form that configurations require. */
 export function configuredAddress(sideIndex: number, daemonIndex: number): string {
   return `10.0.${sideIndex}.${daemonIndex}:1`;
 }
@@ -57,7 +63,7 @@
   readonly random: SeededRandom;
   readonly network: Network;
   readonly history: History;
-  /** The store of each side, by the side's name. */
+  /** Stores by the name of their side. */
   readonly stores = new Map<string, SimulatedStore>();
   /** The store of the first side. */
   readonly store: SimulatedStore;
@@ -67,10 +73,10 @@
   readonly configurationChecker: ConfigurationChecker;
   readonly drainChecker: DrainChecker;
   readonly #ownerChecker: SingleOwnerChecker;
-  readonly #acknowledgedChecker: AcknowledgedChecker;
-  readonly #carrier: RequestCarrier;
+  readonly #acknowledgedUnitsChecker: AcknowledgedUnitsChecker;
+  readonly #transport: RequestTransport;
   readonly #daemonsByAddress = new Map<string, SimulatedDaemon>();
-  readonly #commands = new Map<number, (accepted: boolean, detail: string) => void>();
+  readonly #pendingCommands = new Map<number, (accepted: boolean, detail: string) => void>();
   #nextCommand = 1;
 
   constructor(options: WorldOptions) {
@@ -89,35 +95,35 @@
       this.servers.set(server.id, this.#createServer({ name: server.id, zone: server.zone }));
     }
     const keyed = firstSide.configuration.groups.filter((group) => group.kind === 'keyed');
-    // A group of the same name on two sides is one group: its units have one owner in all.
-    const serversOf = keyed.map(({ name }) =>
+    // Groups with the same name on two sides form one group: each unit has one owner across both sides.
+    const keyedServers = keyed.map(({ name }) =>
       groups
         .filter((group) => group.name === name)
         .flatMap((group) => group.servers.map(({ id }) => this.server(id))),
     );
-    this.#ownerChecker = new SingleOwnerChecker(this.history, serversOf);
-    this.#acknowledgedChecker = new AcknowledgedChecker(this.history, (side, shard) => {
+    this.#ownerChecker = new SingleOwnerChecker(this.history, keyedServers);
+    this.#acknowledgedUnitsChecker = new AcknowledgedUnitsChecker(this.history, (side, shard) => {
       const value = this.stores.get(side)?.model.read(shardObjectName(shard)).value ?? '';
       return parseShardObject(value);
     });
     this.configurationChecker = new ConfigurationChecker(this.history);
     this.drainChecker = new DrainChecker(this.history, DRAIN_GRACE);
-    this.#carrier = new RequestCarrier(this);
+    this.#transport = new RequestTransport(this);
     const [firstKeyed] = keyed;
     if (firstKeyed === undefined) {
-      throw new Error('a simulated configuration needs a keyed group');
+      throw new Error('the simulated configuration has no keyed group');
     }
     this.availability = new AvailabilitySampler(firstKeyed);
     options.sides.forEach((side, index) => this.#createDaemons(options, side, index));
     this.#sampleAvailability();
   }
 
-  /** Virtual time. */
+  /** The current virtual time. */
   get now(): Milliseconds {
     return this.scheduler.now;
   }
 
-  /** A server by name. */
+  /** Returns a server by id; throws if there is none. */
   server(id: string): SimulatedServer {
     const server = this.servers.get(id);
     if (server === undefined) {
@@ -126,33 +132,33 @@
     return server;
   }
 
-  /** The daemon at an address: its name, or the form that configurations use. */
+  /** Returns the daemon at an address, given as the daemon's name or as host:port. */
   daemonAt(address: string): SimulatedDaemon | undefined {
     return this.#daemonsByAddress.get(address);
   }
 
-  /** Sends a caller's request to a daemon that takes requests. */
+  /** Sends a caller's request to a random daemon that accepts requests. */
   call(request: SimulatedCall): void {
-    const open = this.daemons.filter((candidate) => candidate.alive && !candidate.stopping);
-    this.#carrier.call(request, this.random.pick(open));
+    const accepting = this.daemons.filter((candidate) => candidate.alive && !candidate.stopping);
+    this.#transport.call(request, this.random.pick(accepting));
   }
 
-  /** Gives an operator's command to a daemon. */
-  command(
+  /** Sends an operator's command to a daemon; `onResult` receives the command's result. */
+  sendOperatorCommand(
     daemon: SimulatedDaemon,
     command: OperatorCommand,
-    told: (accepted: boolean, detail: string) => void = () => undefined,
+    onResult: (accepted: boolean, detail: string) => void = () => undefined,
   ): void {
     const commandId = this.#nextCommand;
     this.#nextCommand += 1;
-    this.#commands.set(commandId, told);
+    this.#pendingCommands.set(commandId, onResult);
     daemon.dispatch({ kind: 'operatorCommand', commandId, command });
   }
 
   #createServer(endpoint: Endpoint): SimulatedServer {
     const server = new SimulatedServer(endpoint, this.scheduler, this.#clockRate(), this.#clockOffset());
-    server.onRun = (callId) => this.history.ran(callId, endpoint.name, this.now);
-    server.onAdmit = () => this.drainChecker.admitted(endpoint.name, this.now);
+    server.onRun = (callId) => this.history.recordRun(callId, endpoint.name, this.now);
+    server.onAdmit = () => this.drainChecker.checkAdmission(endpoint.name, this.now);
     return server;
   }
 
@@ -168,8 +174,8 @@
         rules: options.rules ?? ALL_RULES,
         seed: options.seed * 100 + sideIndex * 50 + index,
         seeds: names.slice(0, 3),
-        perform: (performer, effect) => this.#perform(performer, effect),
-        observe: (observed) => this.#observe(observed),
+        perform: (performer, effect) => this.#performEffect(performer, effect),
+        observe: (observed) => this.#runCheckers(observed),
       });
       this.daemons.push(daemon);
       this.#daemonsByAddress.set(daemon.id, daemon);
@@ -178,17 +184,17 @@
   }
 
   #clockRate(): number {
-    return 1 + CLOCK_DRIFT * (2 * this.random.fraction() - 1);
+    return 1 + MAX_CLOCK_DRIFT * (2 * this.random.fraction() - 1);
   }
 
   #clockOffset(): Milliseconds {
-    return LARGEST_CLOCK_OFFSET * this.random.fraction();
+    return MAX_CLOCK_OFFSET * this.random.fraction();
   }
 
-  #observe(daemon: SimulatedDaemon): void {
+  #runCheckers(daemon: SimulatedDaemon): void {
     this.configurationChecker.observe(daemon, this.now);
-    this.#acknowledgedChecker.noteTerms(daemon);
-    this.#acknowledgedChecker.observe(daemon, this.now);
+    this.#acknowledgedUnitsChecker.recordTerms(daemon);
+    this.#acknowledgedUnitsChecker.observe(daemon, this.now);
   }
 
   #sampleAvailability(): void {
@@ -198,31 +204,31 @@
     });
   }
 
-  #perform(daemon: SimulatedDaemon, effect: Effect): void {
+  #performEffect(daemon: SimulatedDaemon, effect: Effect): void {
     switch (effect.kind) {
       case 'send':
-        return this.#send(daemon, effect);
+        return this.#sendPeerMessage(daemon, effect);
       case 'controlServer':
-        return this.#control(daemon, effect);
+        return this.#sendControlRequest(daemon, effect);
       case 'readObject':
         return this.stores.get(daemon.side)?.read(daemon, effect);
       case 'writeObject':
         return this.stores.get(daemon.side)?.write(daemon, effect);
       case 'forward':
-        return this.#carrier.forward(daemon, effect);
+        return this.#transport.forward(daemon, effect);
       case 'answer':
-        return this.#carrier.answer(effect.requestId, effect.outcome);
+        return this.#transport.answer(effect.requestId, effect.outcome);
       case 'cancel':
         return;
       case 'commandResult':
-        this.#commands.get(effect.commandId)?.(effect.accepted, effect.detail);
+        this.#pendingCommands.get(effect.commandId)?.(effect.accepted, effect.detail);
         return;
       case 'log':
-        return this.history.note(this.now, `${daemon.id}: ${effect.text}`);
+        return this.history.logLine(this.now, `${daemon.id}: ${effect.text}`);
     }
   }
 
-  #send(daemon: SimulatedDaemon, effect: Extract<Effect, { kind: 'send' }>): void {
+  #sendPeerMessage(daemon: SimulatedDaemon, effect: Extract<Effect, { kind: 'send' }>): void {
     const target = this.daemonAt(effect.address);
     if (target === undefined || target === daemon) {
       return;
@@ -235,14 +241,14 @@
     );
   }
 
-  #control(daemon: SimulatedDaemon, effect: Extract<Effect, { kind: 'controlServer' }>): void {
+  #sendControlRequest(daemon: SimulatedDaemon, effect: Extract<Effect, { kind: 'controlServer' }>): void {
     const server = this.server(effect.server);
     const { life } = daemon;
     const { shard, term } = effect.request;
-    const arrive = (): void =>
-      server.within(() => {
+    const execute = (): void =>
+      server.runWhenActive(() => {
         const reply = server.control(effect.request);
-        this.#ownerChecker.afterControl(server, this.now);
+        this.#ownerChecker.checkAfterControl(server, this.now);
         const event = { kind: 'controlReply', server: effect.server, shard, term, reply } as const;
         this.network.deliver(
           server.endpoint,
@@ -250,6 +256,6 @@
           () => daemon.life === life && daemon.dispatch(event),
         );
       });
-    this.network.deliver(daemon.endpoint, server.endpoint, arrive);
+    this.network.deliver(daemon.endpoint, server.endpoint, execute);
   }
 }
--- a/test/core/consensus/test-election.ts
+++ b/test/core/consensus/test-election.ts
@@ -1,11 +1,11 @@
 import { expect } from 'earl';
 import { describe, it } from 'node:test';
-import { systemNamed } from '../../../src/emulator/systems.js';
+import { getSystem } from '../../../src/emulator/systems.js';
 import { createWorld } from '../../../src/simulation/run.js';
 
 describe('planned stop of a shard leader', () => {
   it('transfers leadership to a follower immediately', () => {
-    const world = createWorld(systemNamed(), { seed: 5 });
+    const world = createWorld(getSystem(), { seed: 5 });
     world.scheduler.runUntil(5_000);
     const leader = world.daemons.find((daemon) => daemon.state.leaderships.size > 0);
     leader?.dispatch({ kind: 'stopping' });
@@ -16,7 +16,7 @@
   });
 
   it('keeps leadership when no other replica can renew the server leases', () => {
-    const world = createWorld(systemNamed(), { seed: 6 }, 1);
+    const world = createWorld(getSystem(), { seed: 6 }, 1);
     world.scheduler.runUntil(5_000);
     const [only] = world.daemons;
     only?.dispatch({ kind: 'stopping' });
--- a/test/core/membership/test-membership.ts
+++ b/test/core/membership/test-membership.ts
@@ -1,7 +1,7 @@
 import { expect } from 'earl';
 import { describe, it } from 'node:test';
 import { aliveMembers } from '../../../src/core/membership/membership.js';
-import { systemNamed } from '../../../src/emulator/systems.js';
+import { getSystem } from '../../../src/emulator/systems.js';
 import { createWorld } from '../../../src/simulation/run.js';
 import type { World } from '../../../src/simulation/world.js';
 
@@ -12,16 +12,16 @@
 
 describe('membership', () => {
   it('is complete on every daemon after 60 daemons join at once over a network that drops messages', () => {
-    const world = createWorld(systemNamed(), { seed: 1 }, 60);
-    world.network.lossShare = 0.3;
+    const world = createWorld(getSystem(), { seed: 1 }, 60);
+    world.network.lossProbability = 0.3;
     world.scheduler.runUntil(2_000);
-    world.network.lossShare = 0;
+    world.network.lossProbability = 0;
     world.scheduler.runUntil(25_000);
     expect(new Set(aliveMemberCounts(world))).toEqual(new Set([60]));
   });
 
   it('declares a crashed daemon dead and adds its next incarnation', () => {
-    const world = createWorld(systemNamed(), { seed: 2 });
+    const world = createWorld(getSystem(), { seed: 2 });
     world.scheduler.runUntil(3_000);
     const [crashed] = world.daemons;
     crashed?.crash();
@@ -33,7 +33,7 @@
   });
 
   it('merges after a partition in which each part declared the other dead', () => {
-    const world = createWorld(systemNamed(), { seed: 3 });
+    const world = createWorld(getSystem(), { seed: 3 });
     world.scheduler.runUntil(3_000);
     const firstPart = new Set(world.daemons.slice(0, 2).map((daemon) => daemon.id));
     const heal = world.network.cut((from, to) => firstPart.has(from.name) !== firstPart.has(to.name));
--- a/test/core/ownership/test-hand-over.ts
+++ b/test/core/ownership/test-hand-over.ts
@@ -1,6 +1,6 @@
 import { expect } from 'earl';
 import { describe, it } from 'node:test';
-import { createTwoSides, startHandOvers } from '../../../src/simulation/two-sides.js';
+import { createTwoSidedWorld, startHandOvers } from '../../../src/simulation/two-sides.js';
 import type { World } from '../../../src/simulation/world.js';
 
 const UNIT = 5;
@@ -15,13 +15,13 @@
 function handOver(world: World, side: string, target: string): void {
   const daemon = world.daemons.find((candidate) => candidate.side === side);
   if (daemon !== undefined) {
-    world.command(daemon, { action: 'handOver', group: 'rakstatus', unit: UNIT, target });
+    world.sendOperatorCommand(daemon, { action: 'handOver', group: 'rakstatus', unit: UNIT, target });
   }
 }
 
 describe('hand-over of units between sides', () => {
   it('moves a unit to the other side and back', () => {
-    const world = createTwoSides({ seed: 1 });
+    const world = createTwoSidedWorld({ seed: 1 });
     world.scheduler.runUntil(5_000);
     handOver(world, 'klang-valley', 'kota-tinggi');
     world.scheduler.runUntil(7_000);
@@ -34,7 +34,7 @@
   });
 
   it('leaves the unit without an owner during a network partition, and completes afterwards', () => {
-    const world = createTwoSides({ seed: 2 });
+    const world = createTwoSidedWorld({ seed: 2 });
     world.scheduler.runUntil(5_000);
     const sideOf = new Map(world.daemons.map((daemon) => [daemon.id, daemon.side]));
     const heal = world.network.cut((from, to) => sideOf.get(from.name) !== sideOf.get(to.name));
@@ -48,14 +48,14 @@
   });
 
   it('refuses a side that is not configured, and a unit that already belongs to the other side', () => {
-    const world = createTwoSides({ seed: 3 });
+    const world = createTwoSidedWorld({ seed: 3 });
     world.scheduler.runUntil(5_000);
     const replies: string[] = [];
     const [daemon] = world.daemons;
     const requestHandOver = (target: string): void => {
       if (daemon !== undefined) {
         const command = { action: 'handOver', group: 'rakstatus', unit: UNIT, target } as const;
-        world.command(daemon, command, (_, detail) => replies.push(detail));
+        world.sendOperatorCommand(daemon, command, (_, detail) => replies.push(detail));
       }
     };
     requestHandOver('nowhere');
@@ -68,7 +68,7 @@
   });
 
   it('keeps at most one owner for each unit during continuous hand-overs', () => {
-    const world = createTwoSides({ seed: 4 });
+    const world = createTwoSidedWorld({ seed: 4 });
     startHandOvers(world, 12_000);
     world.scheduler.runUntil(14_000);
     expect(world.history.violations).toEqual([]);
--- a/test/core/ownership/test-recovery.ts
+++ b/test/core/ownership/test-recovery.ts
@@ -1,6 +1,6 @@
 import { expect } from 'earl';
 import { describe, it } from 'node:test';
-import { systemNamed } from '../../../src/emulator/systems.js';
+import { getSystem } from '../../../src/emulator/systems.js';
 import { createWorld } from '../../../src/simulation/run.js';
 import type { World } from '../../../src/simulation/world.js';
 
@@ -17,7 +17,7 @@
 
 describe('recovery of a shard', () => {
   it('restores a shard from the store with the same owners after all daemons restarted at once', () => {
-    const world = createWorld(systemNamed(), { seed: 1 });
+    const world = createWorld(getSystem(), { seed: 1 });
     world.scheduler.runUntil(6_000);
     const before = ownersOf(world);
     world.daemons.forEach((daemon) => daemon.crash());
@@ -30,7 +30,7 @@
   });
 
   it("does not form a new generation while a replica may be alive, except on an operator's order", () => {
-    const world = createWorld(systemNamed(), { seed: 2 });
+    const world = createWorld(getSystem(), { seed: 2 });
     world.scheduler.runUntil(6_000);
     const replicas = world.daemons.filter((daemon) => daemon.state.replicas.has('rakstatus/0'));
     replicas.slice(0, 2).forEach((daemon) => daemon.crash());
@@ -40,7 +40,7 @@
     expect(generations(world).has(2)).toEqual(false);
     const [daemon] = world.daemons;
     if (daemon !== undefined) {
-      world.command(daemon, { action: 'recover', shard: 'rakstatus/0' });
+      world.sendOperatorCommand(daemon, { action: 'recover', shard: 'rakstatus/0' });
     }
     world.scheduler.runUntil(20_000);
     expect(generations(world)).toEqual(new Set([2]));
--- a/test/runtime/test-daemon.ts
+++ b/test/runtime/test-daemon.ts
@@ -48,7 +48,7 @@
         { name: 'all', path: '/k/:key', methods: ['GET', 'POST'], group: 'only', key, repeatable: false },
       ],
     });
-    stopStore = await startStoreProcess({ address: at.store, mostReaders: 2, objects: { routing } });
+    stopStore = await startStoreProcess({ address: at.store, maxWaitingReaders: 2, objects: { routing } });
     await server.start(at.server);
     const { http, admin, internal } = at;
     const limits = { bodyBytes: 1_000, headerBytes: 2_048 };
