--- a/src/core/dissemination/configuration-propagation.ts
+++ b/src/core/dissemination/configuration-propagation.ts
@@ -31,8 +31,8 @@
 export function isStoreWatcher(context: ReducerContext): boolean {
   const { membership, configuration } = context.state;
   const members = aliveMembers(membership);
-  const { watcherDecision: watcherChoice } = configuration;
-  if (watcherChoice.members !== members && context.now >= watcherChoice.validUntil) {
+  const { watcherDecision } = configuration;
+  if (watcherDecision.members !== members && context.now >= watcherDecision.validUntil) {
     const names = members.map((member) => member.id);
     const chosen = rendezvousOrder(CONFIGURATION_OBJECT, names).slice(0, STORE_WATCHERS);
     const until = context.now + WATCHER_SELECTION_INTERVAL;
--- a/src/core/membership/membership.ts
+++ b/src/core/membership/membership.ts
@@ -301,14 +301,14 @@
  */
 export function tickMembership(context: ReducerContext): void {
   const { membership, timing } = context.state;
-  const { outstandingPing: outstanding } = membership;
-  if (outstanding !== null) {
-    const waited = context.now - outstanding.sentAt;
-    if (waited >= timing.pingTimeout && !outstanding.indirect) {
-      requestIndirectPings(context, outstanding);
+  const { outstandingPing } = membership;
+  if (outstandingPing !== null) {
+    const waited = context.now - outstandingPing.sentAt;
+    if (waited >= timing.pingTimeout && !outstandingPing.indirect) {
+      requestIndirectPings(context, outstandingPing);
     }
     if (waited >= timing.pingInterval) {
-      markSuspect(context, outstanding.target);
+      markSuspect(context, outstandingPing.target);
       membership.outstandingPing = null;
     }
   }
--- a/src/core/ownership/server-session.ts
+++ b/src/core/ownership/server-session.ts
@@ -89,12 +89,12 @@
 
 /** Makes a clock stamp usable once a quorum has confirmed the leader after the stamp was received. */
 export function confirmStamp(session: ServerSession, quorumRound: number, requireQuorum: boolean): void {
-  const { unconfirmedStamp: unconfirmed } = session;
-  if (unconfirmed === null) {
+  const { unconfirmedStamp } = session;
+  if (unconfirmedStamp === null) {
     return;
   }
-  if (!requireQuorum || quorumRound >= unconfirmed.confirmingRound) {
-    session.stamp = { clock: unconfirmed.clock, receivedAt: unconfirmed.receivedAt };
+  if (!requireQuorum || quorumRound >= unconfirmedStamp.confirmingRound) {
+    session.stamp = { clock: unconfirmedStamp.clock, receivedAt: unconfirmedStamp.receivedAt };
     session.unconfirmedStamp = null;
   }
 }
--- a/src/core/ownership/shard-plan.ts
+++ b/src/core/ownership/shard-plan.ts
@@ -101,8 +101,8 @@
 
 /** Returns whether every lease that an earlier generation may have renewed has expired. */
 function earlierLeasesExpired(context: ReducerContext, leadership: ShardLeadership): boolean {
-  const { serverLease, clockDriftMargin: driftMargin } = context.state.timing;
-  return context.now - leadership.electedAt >= serverLease + driftMargin;
+  const { serverLease, clockDriftMargin } = context.state.timing;
+  return context.now - leadership.electedAt >= serverLease + clockDriftMargin;
 }
 
 /**
@@ -144,9 +144,9 @@
   servers: readonly ServerConfiguration[],
   balanceDue: boolean,
 ): void {
-  const { replica, proposedUnits: proposed } = leadership;
+  const { replica, proposedUnits } = leadership;
   const records = [...replica.table.records.values()].filter(
-    (record) => !proposed.has(record.unit) && sideOfOwner(record.server) === null,
+    (record) => !proposedUnits.has(record.unit) && sideOfOwner(record.server) === null,
   );
   const candidates = placementServers(context, leadership, servers);
   const load = new UnitLoad(candidates, replica.table.records.values());
@@ -161,11 +161,11 @@
   reassignUnitsOfLostServers(context, leadership, records, candidates, load);
   assignUnownedUnits(context, leadership, group, load);
   const moving = [...replica.table.records.values()].filter((record) => record.target !== null).length;
-  const settled = records.filter((record) => !proposed.has(record.unit));
+  const settled = records.filter((record) => !proposedUnits.has(record.unit));
   proposeMoves(context, leadership, planDrain(settled, candidates, load, MAXIMUM_CONCURRENT_MOVES - moving));
   if (balanceDue) {
     leadership.nextBalanceAt = context.now + context.state.timing.rebalanceInterval;
-    const limit = MAXIMUM_CONCURRENT_BALANCE_MOVES - moving - proposed.size;
+    const limit = MAXIMUM_CONCURRENT_BALANCE_MOVES - moving - proposedUnits.size;
     proposeMoves(context, leadership, planBalance(settled, load, group.balanceTolerancePercent, limit));
   }
 }
@@ -236,11 +236,12 @@
     return;
   }
   const waited = context.now - leadership.electedAt;
-  const { firstAssignmentDelay: firstAssignment } = context.state.timing;
+  const { firstAssignmentDelay } = context.state.timing;
   const someWithoutReply = [...leadership.sessions.values()].some((session) => session.incarnation === 0);
   // Once all servers have replied, the first assignment is balanced and none of its units has to move again.
   if (
-    waited < (someWithoutReply ? firstAssignment * UNRESPONSIVE_SERVERS_DELAY_FACTOR : firstAssignment) ||
+    waited <
+      (someWithoutReply ? firstAssignmentDelay * UNRESPONSIVE_SERVERS_DELAY_FACTOR : firstAssignmentDelay) ||
     table.records.size >= group.slots / group.shards
   ) {
     return;
--- a/src/router-runtime/admin-routes.ts
+++ b/src/router-runtime/admin-routes.ts
@@ -13,22 +13,14 @@
 
 /** Summarises the daemon's state. */
 function describeState(state: RouterState): object {
-  const {
-    identity,
-    configuration,
-    serversRevision,
-    servers,
-    ownershipView: view,
-    election,
-    leadership,
-  } = state;
+  const { identity, configuration, serversRevision, servers, ownershipView, election, leadership } = state;
   return {
     daemon: identity.daemon,
     life: identity.life,
     missingForCallers: notReadyReason(state),
     configuration: configuration?.version ?? null,
     servers: { revision: serversRevision, count: servers.size },
-    ownership: { term: view.term, sequence: view.sequence, units: view.units },
+    ownership: { term: ownershipView.term, sequence: ownershipView.sequence, units: ownershipView.units },
     leader: leadership === null ? election.leader : 'this daemon',
     requests: state.requests.size,
   };
--- a/test/platform/test-server-control-client.ts
+++ b/test/platform/test-server-control-client.ts
@@ -24,7 +24,7 @@
 let sockets: Socket[];
 let muting: MutingServer | null;
 
-function grant(patience: number, fence = TIMED_OUT_FENCE): ControlEffect {
+function grant(timeout: number, fence = TIMED_OUT_FENCE): ControlEffect {
   const keys = { from: 0, to: 9, fence, hold: 2_500, handover: null };
   return {
     kind: 'control',
@@ -33,7 +33,7 @@
     server: 'i-1',
     address,
     ...keys,
-    timeout: patience,
+    timeout,
     healthPath: '/h',
   };
 }
--- a/test/router-runtime/test-sent-after-caller-left.ts
+++ b/test/router-runtime/test-sent-after-caller-left.ts
@@ -62,20 +62,20 @@
   // If the tick ran before the sockets were polled, servers and daemons whose responses wait unread would count as unresponsive.
   it('reads the data that has arrived meanwhile before it runs the tick', async () => {
     front = await BlockedLoopFront.start();
-    const { ticksBeforeLastDisconnect: ticksBeforeEnds } = await front.runCase(BASE);
-    expect(ticksBeforeEnds).toEqual(0);
+    const { ticksBeforeLastDisconnect } = await front.runCase(BASE);
+    expect(ticksBeforeLastDisconnect).toEqual(0);
   });
 
   // Each turn of the loop accepts one connection: if requests were handled in every turn, later connections would wait for all of them.
   it('reads the requests on all connections that wait to be accepted before it handles one', async () => {
     front = await BlockedLoopFront.start();
-    const { readBeforeFirstAdmission: readBeforeFirst } = await front.runCase({
+    const { readBeforeFirstAdmission } = await front.runCase({
       ...BASE,
       callers: 20,
       reusesConnections: false,
       disconnection: 'stay',
     });
-    expect(readBeforeFirst).toEqual(20);
+    expect(readBeforeFirstAdmission).toEqual(20);
   });
 
   it('removes a pipelined request when its caller disconnects', async () => {
--- a/test/soak/soak.ts
+++ b/test/soak/soak.ts
@@ -291,15 +291,15 @@
     daemon.signal('SIGCONT');
   }
 
-  /** Adds a server and removes another one, which is first marked as draining unless `isSilent`. */
-  async #drain(index: number, isSilent: boolean): Promise<void> {
+  /** Adds a server and removes another one, which is first marked as draining unless `isUnresponsive`. */
+  async #drain(index: number, isUnresponsive: boolean): Promise<void> {
     const server = this.#activeServers()[index];
     if (server === undefined) {
       return;
     }
     await this.#addServer(server.keyed ? 'keyed' : 'plain');
     this.#arrivalChecks.recordDraining(server);
-    if (!isSilent) {
+    if (!isUnresponsive) {
       this.#putEntry(server, 'draining');
       await pause(TIMING.drain * MILLISECONDS_PER_SECOND);
     }
--- a/test/support/blocked-loop-front.ts
+++ b/test/support/blocked-loop-front.ts
@@ -1,5 +1,5 @@
 /**
- * Runs a `CallerFront` whose event loop is blocked until callers on another thread have sent their requests and disconnected. Every request that the front
+ * Runs a `CallerFrontend` whose event loop is blocked until callers on another thread have sent their requests and disconnected. Every request that the frontend
  * admits is forwarded to a server.
  */
 import type { AddressInfo } from 'node:net';
