--- a/src/clock/daemon-clock.ts
+++ b/src/clock/daemon-clock.ts
@@ -17,7 +17,7 @@
   timeOfDay(): ClockMilliseconds;
 }
 
-/** A suspension of the machine, or a forward step of the time of day that can't be told from one. */
+/** A suspension of the machine, or a forward step of the time of day that cannot be distinguished from one. */
 export interface Suspension {
   readonly length: ClockMilliseconds;
   /** The daemon's clock includes this time. Otherwise the time of day jumped, and no other clock shows whether it was set. */
--- a/src/command-line/serve-command.ts
+++ b/src/command-line/serve-command.ts
@@ -30,7 +30,7 @@
   }
 }
 
-/** Runs a daemon until it gets SIGTERM or SIGINT. */
+/** Runs a daemon until it receives SIGTERM or SIGINT. */
 export class ServeCommand extends SettingsCommand {
   static override paths = [['serve']];
   static override usage = Command.Usage({
--- a/src/core/membership/membership.ts
+++ b/src/core/membership/membership.ts
@@ -282,7 +282,7 @@
   }
 }
 
-/** Notifies some members that this daemon leaves; gossip propagates the update to the others. */
+/** Notifies some members that this daemon is leaving the membership; gossip propagates the update to the others. */
 export function announceLeave(context: ReducerContext): void {
   const { membership, random } = context.state;
   const others = aliveMembers(membership).filter((member) => member.id !== membership.self.id);
--- a/src/core/ownership/server-session.ts
+++ b/src/core/ownership/server-session.ts
@@ -1,5 +1,5 @@
 /**
- * A shard leader's view of one server: its lease, and the units that it may hold. When in doubt, the session
+ * A shard leader's view of one server: its lease, and the units that it may hold. When uncertain, the session
  * assumes that the server may still hold a unit. docs/design/leases.md gives the argument.
  */
 import type { Epoch, Milliseconds, ServerId, UnitNumber } from '../identifiers.js';
--- a/src/core/request/request-reducer.ts
+++ b/src/core/request/request-reducer.ts
@@ -48,7 +48,7 @@
 ): void {
   const { counters, rules } = context.state;
   removeRequest(context, request);
-  const provenNotRun = !request.mayHaveRun || !rules.sayUnknownAfterLoss;
+  const provenNotRun = !request.mayHaveRun || !rules.reportUnknownAfterLoss;
   const outcome = requestedOutcome === 'not-run' && !provenNotRun ? 'unknown' : requestedOutcome;
   if (outcome === 'unknown') {
     counters.requests_unknown += 1;
@@ -270,14 +270,14 @@
 function handleLostAttempt(context: ReducerContext, request: ActiveRequest, answerStarted: boolean): void {
   const { requests, counters, rules } = context.state;
   request.mayHaveRun = true;
-  const repeatable = request.route.repeatable || !rules.neverRepeatUnrepeatable;
+  const repeatable = request.route.repeatable || !rules.neverRetryNonRepeatable;
   if (repeatable && !answerStarted && request.replayable && requests.retryBudget >= 1) {
     requests.retryBudget -= 1;
     counters.retries += 1;
     holdForRetry(context, request, request.lastReason);
     return;
   }
-  const outcome: Outcome = rules.sayUnknownAfterLoss ? 'unknown' : 'not-run';
+  const outcome: Outcome = rules.reportUnknownAfterLoss ? 'unknown' : 'not-run';
   answer(context, request, 502, outcome, 'Connection to the server lost', null);
 }
 
--- a/src/core/safety-rules.ts
+++ b/src/core/safety-rules.ts
@@ -31,9 +31,9 @@
   /** A daemon applies updates of an ownership table only in increasing order of version. */
   readonly tableOnlyForward: boolean;
   /** A non-repeatable request is not retried once a server may have run it. */
-  readonly neverRepeatUnrepeatable: boolean;
+  readonly neverRetryNonRepeatable: boolean;
   /** The outcome `not-run` is reported only for a request that no server can have run. */
-  readonly sayUnknownAfterLoss: boolean;
+  readonly reportUnknownAfterLoss: boolean;
   /** A draining server is granted no further units and sent no new requests of balanced groups. */
   readonly respectDraining: boolean;
 }
@@ -50,7 +50,7 @@
   voteOncePerTerm: true,
   configurationOnlyForward: true,
   tableOnlyForward: true,
-  neverRepeatUnrepeatable: true,
-  sayUnknownAfterLoss: true,
+  neverRetryNonRepeatable: true,
+  reportUnknownAfterLoss: true,
   respectDraining: true,
 };
--- a/src/emulator/server-process.ts
+++ b/src/emulator/server-process.ts
@@ -152,10 +152,10 @@
       sendRefusal(request, response, finalRefusal);
       return;
     }
-    let callerGone = false;
-    response.once('close', () => (callerGone = !response.writableFinished));
+    let callerDisconnected = false;
+    response.once('close', () => (callerDisconnected = !response.writableFinished));
     const start = (): void => {
-      if (callerGone) {
+      if (callerDisconnected) {
         this.#model.finish(token);
         this.#startNext();
         return;
--- a/src/event-loop/poll-barrier.ts
+++ b/src/event-loop/poll-barrier.ts
@@ -56,7 +56,7 @@
   }
 
   /**
-   * Sets the check that tells whether the loop has polled its sockets a short time ago.
+   * Sets the check that reports whether the loop has polled its sockets a short time ago.
    *
    * @param isOnTime returns true only if that is certain
    */
--- a/src/simulation/mutations.ts
+++ b/src/simulation/mutations.ts
@@ -66,10 +66,15 @@
   },
   {
     name: 'repeat-unrepeatable',
-    rules: allRulesExcept('neverRepeatUnrepeatable'),
+    rules: allRulesExcept('neverRetryNonRepeatable'),
+    faults: ['network-bad'],
+    seeds: 10,
+  },
+  {
+    name: 'claim-not-run',
+    rules: allRulesExcept('reportUnknownAfterLoss'),
     faults: ['network-bad'],
     seeds: 10,
   },
-  { name: 'claim-not-run', rules: allRulesExcept('sayUnknownAfterLoss'), faults: ['network-bad'], seeds: 10 },
   { name: 'ignore-drain', rules: allRulesExcept('respectDraining'), faults: ['drain'], seeds: 10 },
 ];
--- a/test/router-runtime/test-caller-frontend.ts
+++ b/test/router-runtime/test-caller-frontend.ts
@@ -103,7 +103,7 @@
     expect(text.endsWith('body')).toEqual(true);
   });
 
-  // A server whose process ends while it sends a response without a length closes the connection in order: only the caller can tell that
+  // A server whose process ends while it sends a response without a length closes the connection in order: only the caller can detect that
   // the response is incomplete.
   it('does not mark a response as complete that had no length', async () => {
     const { text } = await exchange((socket) => {
--- a/test/soak/limit-faults.ts
+++ b/test/soak/limit-faults.ts
@@ -1,5 +1,5 @@
 /**
- * Lets servers announce rate limits in responses, change them and withdraw them, and checks the request rate of the daemons that were told of a limit.
+ * Lets servers announce rate limits in responses, change them and withdraw them, and checks the request rate of the daemons that have received a limit.
  * Uses a random sequence of its own, so that the other faults of a seed do not depend on these.
  */
 import { SeededRandom } from '../../src/core/random.js';
@@ -118,11 +118,11 @@
     return this.#environment.daemons.find(({ name }) => attemptId.startsWith(`${name}-`));
   }
 
-  /** Records that a daemon was told of a limit by a response. */
+  /** Records that a daemon has received a limit in a response. */
   onAnswer(server: FakeServer, attemptId: string): void {
     const limited = this.#limited.get(server);
     const daemon = this.#daemonOf(attemptId);
-    // A malformed limit is ignored: daemons that got nothing else know of no limit.
+    // A malformed limit is ignored: daemons that have received no other limit know of none.
     if (limited === undefined || daemon === undefined || !isWellFormed(server.limit)) {
       return;
     }
--- a/test/soak/promise-checker.ts
+++ b/test/soak/promise-checker.ts
@@ -41,7 +41,7 @@
   /** Called for each request that a server runs. */
   onRun: (server: FakeServer, attemptId: string) => void = () => undefined;
 
-  /** Checks that are told of each response, and of each request that a server runs or rejects because it asks for back-off. */
+  /** Checks that are notified of each response, and of each request that a server runs or rejects because it asks for back-off. */
   readonly trafficChecks: ServerTrafficCheck[] = [];
 
   fail(promise: string, detail: string): void {
