--- a/src/emulator/store-model.ts
+++ b/src/emulator/store-model.ts
@@ -25,7 +25,11 @@
 /** Stores objects by name. */
 export class StoreModel {
   readonly #objects = new Map<string, StoredObject>();
-  readonly #watches = new Set<{ readonly name: string; readonly after: number; readonly wake: () => void }>();
+  readonly #watches = new Set<{
+    readonly name: string;
+    readonly after: number;
+    readonly onNewer: () => void;
+  }>();
 
   /** Returns an object, or a placeholder with version 0 if it does not exist. */
   read(name: string): StoredObject {
@@ -40,15 +44,15 @@
     }
     const version = expectedVersion + 1;
     this.#objects.set(name, { version, value, writeId });
-    this.#wake(name, version);
+    this.#notifyWatches(name, version);
     return { kind: 'written', version };
   }
 
-  /** Calls `wake` once, when the object gets a newer version. Returns a function that cancels the watch. */
-  waitForNewer(name: string, after: number, wake: () => void): () => void {
-    const waiter = { name, after, wake };
-    this.#watches.add(waiter);
-    return () => this.#watches.delete(waiter);
+  /** Calls `onNewer` once, when the object has a newer version. Returns a function that cancels the watch. */
+  waitForNewer(name: string, after: number, onNewer: () => void): () => void {
+    const watch = { name, after, onNewer };
+    this.#watches.add(watch);
+    return () => this.#watches.delete(watch);
   }
 
   /** Number of open watches. */
@@ -56,11 +60,11 @@
     return this.#watches.size;
   }
 
-  #wake(name: string, version: number): void {
-    for (const waiter of [...this.#watches]) {
-      if (waiter.name === name && version > waiter.after) {
-        this.#watches.delete(waiter);
-        waiter.wake();
+  #notifyWatches(name: string, version: number): void {
+    for (const watch of [...this.#watches]) {
+      if (watch.name === name && version > watch.after) {
+        this.#watches.delete(watch);
+        watch.onNewer();
       }
     }
   }
--- a/src/simulation/run.ts
+++ b/src/simulation/run.ts
@@ -16,8 +16,8 @@
  * All faults have ended and their effects are repaired by this time. From here on no unit may be unavailable
  * for longer than `MAX_RECOVERY_TIME`.
  */
-const QUIET_FROM: Milliseconds = 20_000;
-const QUIET_UNTIL: Milliseconds = 34_000;
+const FAULT_FREE_FROM: Milliseconds = 20_000;
+const FAULT_FREE_UNTIL: Milliseconds = 34_000;
 const MAX_RECOVERY_TIME: Milliseconds = 2_000;
 const REQUESTS_PER_SECOND = 60;
 const DAEMON_COUNT = 5;
@@ -128,18 +128,18 @@
   const world =
     options.scenario.twoSides === true ? createTwoSidedWorld(options) : createWorld(system, options);
   const configuration = routingConfigurationOf(system, (position) => `127.0.0.1:${20_000 + position}`);
-  startWorkload(world, configuration, REQUESTS_PER_SECOND, QUIET_UNTIL - 1_000);
+  startWorkload(world, configuration, REQUESTS_PER_SECOND, FAULT_FREE_UNTIL - 1_000);
   scheduleFaults(world, options.scenario);
   if (options.scenario.twoSides === true) {
     startHandOvers(world, FAULTS_UNTIL);
   }
   world.scheduler.runUntil(FAULTS_FROM);
   world.availability.reset();
-  world.scheduler.runUntil(QUIET_FROM);
+  world.scheduler.runUntil(FAULT_FREE_FROM);
   const longestOutage = world.availability.outages().at(-1) ?? 0;
   const { ownerChanges } = world.availability;
   world.availability.reset();
-  world.scheduler.runUntil(QUIET_UNTIL);
+  world.scheduler.runUntil(FAULT_FREE_UNTIL);
   checkFinalState(world);
   const count = (outcome: string): number =>
     [...world.history.calls.values()].filter((call) => call.outcome === outcome).length;
--- a/test/soak/fake-store.ts
+++ b/test/soak/fake-store.ts
@@ -1,12 +1,12 @@
 /**
  * Fake object store with the platform's API: objects by kind under one revision counter, lists, watches, compare-and-swap, and outages.
- * A request that arrives while the store is in mode `silent` is never answered.
+ * A request that arrives while the store is in mode `unresponsive` is never answered.
  */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import type { AddressInfo, Socket } from 'node:net';
 
 /** How the store handles requests: answers them, never answers, or answers with status 503. */
-export type StoreMode = 'available' | 'silent' | 'busy';
+export type StoreMode = 'available' | 'unresponsive' | 'busy';
 
 interface StoredObject {
   readonly metadata: { readonly name: string; readonly revision: number; readonly made: number };
@@ -85,8 +85,8 @@
 
   #publish(kind: string, event: StoreEvent): void {
     this.#events.set(kind, [...(this.#events.get(kind) ?? []), event]);
-    const told = this.#watchers.filter((watcher) => watcher.kind === kind);
-    told.forEach((watcher) => this.#answerWatch(watcher));
+    const waiting = this.#watchers.filter((watcher) => watcher.kind === kind);
+    waiting.forEach((watcher) => this.#answerWatch(watcher));
   }
 
   #answerWatch(watcher: Watcher): void {
@@ -110,7 +110,7 @@
     for await (const chunk of request as AsyncIterable<Buffer>) {
       chunks.push(chunk);
     }
-    if (this.mode === 'silent') {
+    if (this.mode === 'unresponsive') {
       return;
     }
     if (this.mode === 'busy') {
--- a/test/soak/soak.ts
+++ b/test/soak/soak.ts
@@ -26,10 +26,10 @@
 const SETTLE_MILLISECONDS = 5_000;
 /** Time after which a crashed server is replaced by a new one at the same address. */
 const SERVER_RESTART_MILLISECONDS = 2_000;
-/** Time after which the entry of the crashed incarnation leaves the store: three missed heartbeats. */
+/** Time after which the entry of the crashed incarnation is removed from the store: three missed heartbeats. */
 const ENTRY_LAPSE_MILLISECONDS = 4_000;
 /** Time without faults before the final check. After the loss of all daemons, a new leader waits 7.7 s for leases of lost servers, from 1.4 s after the store is back. */
-const CALM_MILLISECONDS = 12_000;
+const FAULT_FREE_MILLISECONDS = 12_000;
 /** Time within which the keys of a crashed server are served again: its lease, and a move to another server. */
 const RECOVERY_MILLISECONDS = 5_000;
 /** Last number of the first caller's loopback address. */
@@ -91,7 +91,7 @@
       faults.push(this.#performFault(fault));
     }
     await Promise.all([...faults, notices, limits, disconnects]);
-    await pause(CALM_MILLISECONDS);
+    await pause(FAULT_FREE_MILLISECONDS);
     await this.#crashingRequests.waitUntilCrashesCease(RECOVERY_MILLISECONDS);
     await this.#checkServedAgain();
     this.#finished = true;
@@ -131,11 +131,11 @@
       const [http, readiness, admin, peers] = ports
         .slice(4 * index, 4 * index + 4)
         .map((port) => `127.0.0.1:${port}`) as [string, string, string, string];
-      const places = { http, readiness, admin, peers };
-      const settings = createDaemonSettings(index, places, storeAddress);
+      const daemonPorts = { http, readiness, admin, peers };
+      const settings = createDaemonSettings(index, daemonPorts, storeAddress);
       const program = programOf(this.#options, index);
       const process = { folder: this.#folder, program, suspends: this.#options.hasCrashes };
-      const daemon = new DaemonProcess(`d${index}`, places, settings, process);
+      const daemon = new DaemonProcess(`d${index}`, daemonPorts, settings, process);
       this.#daemons.push(daemon);
       this.#callers.push(new Caller(daemon, this.#promises, `127.0.0.${index + FIRST_CALLER_HOST}`));
       daemon.start();
@@ -236,7 +236,7 @@
         return;
       case 'storeSilent':
       case 'storeBusy':
-        return this.#interruptStore(fault.kind === 'storeSilent' ? 'silent' : 'busy', fault.lasts);
+        return this.#interruptStore(fault.kind === 'storeSilent' ? 'unresponsive' : 'busy', fault.lasts);
       case 'muteStore':
         return this.#outages.muteConnections();
       case 'kill':
@@ -320,10 +320,10 @@
   /** Whether neither a daemon nor the store had a fault for `UNDISTURBED_MILLISECONDS` before a time. */
   #wasUndisturbed(daemon: DaemonProcess, from: number): boolean {
     const { isRunning, isPaused, stopping, lastFaultAt } = daemon;
-    const isCalm =
+    const isFreeOfFaults =
       !this.#outages.hasActive &&
       Math.max(lastFaultAt, this.#outages.lastFaultAt) + UNDISTURBED_MILLISECONDS <= from;
-    return isCalm && isRunning && !isPaused && !stopping;
+    return isFreeOfFaults && isRunning && !isPaused && !stopping;
   }
 
   async #callContinuously(caller: Caller): Promise<void> {
