--- a/src/command-line/limits-command.ts
+++ b/src/command-line/limits-command.ts
@@ -1,4 +1,4 @@
-/** `fennelferry limits`: lists the servers with rate limits as each daemon sees them, and the share of each daemon. */
+/** `fennelferry limits`: lists the servers with rate limits as known to each daemon, and the share of each daemon. */
 import { Command, Option } from 'clipanion';
 import { err, ok, type Result } from 'neverthrow';
 import { request } from 'undici';
--- a/src/core/dissemination/table-propagation.ts
+++ b/src/core/dissemination/table-propagation.ts
@@ -141,8 +141,8 @@
 }
 
 /**
- * Sends a peer each table of which this daemon has a newer version than the peer listed. A request that
- * lists a single shard gets only that shard.
+ * Sends a peer each table of which this daemon has a newer version than the peer listed. The response
+ * to a request that lists a single shard contains only that shard.
  */
 export function sendNewerTables(
   context: ReducerContext,
--- a/src/core/messages.ts
+++ b/src/core/messages.ts
@@ -4,7 +4,7 @@
  */
 import type { DaemonId, Epoch, ReplicaId, ServerId, ShardId, UnitNumber } from './identifiers.js';
 
-/** The status of a member as one daemon sees it. */
+/** The status of a member in the view of one daemon. */
 export type MemberStatus = 'alive' | 'suspect' | 'dead' | 'left';
 
 /** One daemon in the membership list. */
@@ -88,7 +88,7 @@
 export interface MemberSync {
   readonly kind: 'memberSync';
   readonly members: Member[];
-  /** Whether this is the response to a sync; a response gets no response. */
+  /** Whether this is the response to a sync; a response is not answered. */
   readonly reply: boolean;
 }
 
--- a/src/core/ownership/shard-checkpoint.ts
+++ b/src/core/ownership/shard-checkpoint.ts
@@ -140,7 +140,7 @@
 
 /**
  * Returns whether a replica may join now. Recovery considers a shard lost when all replicas that the object
- * names are gone, so replicas that the object does not name must never form a majority on their own.
+ * names are lost, so replicas that the object does not name must never form a majority on their own.
  */
 export function mayAddReplica(
   leadership: ShardLeadership,
--- a/src/core/ownership/shard-formation.ts
+++ b/src/core/ownership/shard-formation.ts
@@ -1,7 +1,7 @@
 /**
  * Forms the generations of a control shard. An object in the store, written by compare-and-swap, names the
  * replicas, so that two daemons can never form the same generation twice. A new generation is formed when
- * all replicas that the object names are proven to be gone. See docs/design/consensus.md.
+ * all replicas that the object names are proven to be lost. See docs/design/consensus.md.
  */
 import { shardsOf } from '../configuration/shard-layout.js';
 import { createShardReplica } from '../consensus/shard-replica.js';
@@ -83,7 +83,7 @@
   formation.nextCheckAt = context.now + FORMATION_CHECK_INTERVAL;
   for (const shard of shardsOf(configuration.configuration)) {
     const table = tables.shards.get(shard);
-    const lost = table?.replicas.every((replica) => isReplicaGone(context, replica)) ?? true;
+    const lost = table?.replicas.every((replica) => isReplicaLost(context, replica)) ?? true;
     const hasReplicas = (table?.generation ?? 0) > 0 && !lost;
     const waiting = context.now < (formation.retryTimes.get(shard) ?? 0);
     if (!hasReplicas && !waiting && isResponsibleForFormation(context, shard)) {
@@ -112,7 +112,7 @@
 
 /**
  * Forms a new generation of a shard from the store's object on an operator's order, without proof that its
- * replicas are gone.
+ * replicas are lost.
  */
 export function forceRecovery(context: ReducerContext, shard: ShardId): void {
   context.state.formation.forcedRecoveries.add(shard);
@@ -134,7 +134,7 @@
     context.log('error', `the store object of shard ${shard} is malformed`);
   } else if (
     formation.forcedRecoveries.delete(shard) ||
-    object.replicas.every((replica) => isReplicaGone(context, replica))
+    object.replicas.every((replica) => isReplicaLost(context, replica))
   ) {
     const { generation, table } = object;
     context.log(
@@ -148,10 +148,10 @@
 }
 
 /**
- * Returns whether a replica is proven to be gone: its daemon runs in a later incarnation, and replicas exist
+ * Returns whether a replica is proven to be lost: its daemon runs in a later incarnation, and replicas exist
  * only in memory.
  */
-function isReplicaGone(context: ReducerContext, replica: ReplicaId): boolean {
+function isReplicaLost(context: ReducerContext, replica: ReplicaId): boolean {
   const member = context.state.membership.members.get(daemonOfReplica(replica));
   return member !== undefined && member.incarnation > incarnationOfReplica(replica);
 }
--- a/src/router-runtime/caller-frontend.ts
+++ b/src/router-runtime/caller-frontend.ts
@@ -142,7 +142,7 @@
     this.server.closeAllConnections();
   }
 
-  /** Reports callers that disconnect. A caller that half-closes its connection counts as gone, even if it would still read. */
+  /** Reports callers that disconnect. A caller that half-closes its connection counts as disconnected, even if it would still read. */
   #detectDisconnect(socket: Socket): void {
     const requests = new Set<number>();
     this.#requestsByConnection.set(socket, requests);
@@ -202,7 +202,7 @@
     outgoing.on('finish', () => this.#removeExchange(requestId, exchange));
     const isFirst = this.#isFirstRequestOn(incoming.socket);
     if (!isFirst && this.#arrivals.isEmpty && this.#loop.isOnTime()) {
-      // The caller's disconnect can't lie unread behind this request for longer than the usual delay of the loop.
+      // The caller's disconnect can't be unread behind this request for longer than the usual delay of the loop.
       this.#dispatchArrival(requestId, this.#loop.readDelay());
     } else {
       this.#arrivals.add(requestId, this.#loop.readDelay(), this.#longestReadDelay(incoming));
--- a/src/router-runtime/object-feed.ts
+++ b/src/router-runtime/object-feed.ts
@@ -123,7 +123,7 @@
 
   #watch(revision: number): void {
     const call = this.#startCall('watch');
-    // The store never answers a watch that it received during an outage or whose connection has gone dead. With a long timeout, changes
+    // The store never answers a watch that it received during an outage or whose connection is dead. With a long timeout, changes
     // would take effect late on all daemons.
     call.cancel = this.#source.watch(revision, this.#watchTimeout(), (outcome) =>
       this.#receiveWatch(call, outcome),
--- a/test/soak/disconnecting-callers.ts
+++ b/test/soak/disconnecting-callers.ts
@@ -1,6 +1,6 @@
 /**
  * Callers that disconnect 50 to 500 ms after sending, on reused and new connections, by close and by reset, while daemons are paused for short times.
- * Checks that no server gets their requests more than half a second later, or still works on them.
+ * Checks that no server receives their requests more than half a second later, or still works on them.
  */
 import { Agent, request } from 'node:http';
 import { SeededRandom } from '../../src/core/random.js';
--- a/test/soak/limit-faults.ts
+++ b/test/soak/limit-faults.ts
@@ -39,7 +39,7 @@
   readonly limitedSince: number;
   /** Highest limit that the server announced, in requests per second. */
   highestLimit: number;
-  /** Time at which each daemon first got the limit in a response since its last fault. */
+  /** Time at which each daemon first received the limit in a response since its last fault. */
   readonly informedAt: Map<DaemonProcess, number>;
   arrivals: Arrival[];
   isReported: boolean;
--- a/test/soak/notice-faults.ts
+++ b/test/soak/notice-faults.ts
@@ -50,7 +50,7 @@
   readonly #promises: PromiseChecker;
   readonly #environment: NoticeFaultEnvironment;
   readonly #random: SeededRandom;
-  /** Time at which each daemon first got a response that announced draining since its last fault, by server and daemon name. */
+  /** Time at which each daemon first received a response that announced draining since its last fault, by server and daemon name. */
   readonly #informed = new Map<FakeServer, Map<string, number>>();
   readonly #backOffs = new Map<FakeServer, Map<string, BackOff>>();
   #malformedCount = 0;
@@ -147,7 +147,7 @@
     return this.#environment.daemons.find(({ name }) => attemptId.startsWith(`${name}-`));
   }
 
-  /** Records the announcements that a daemon got with a response. */
+  /** Records the announcements that a daemon received in a response. */
   onAnswer(server: FakeServer, attemptId: string): void {
     const daemon = this.#daemonOf(attemptId);
     if (daemon === undefined) {
@@ -171,7 +171,7 @@
     }
   }
 
-  /** Checks a request that reached a server against the announcements that its daemon got. */
+  /** Checks a request that reached a server against the announcements that its daemon has received. */
   onArrival(server: FakeServer, attemptId: string): void {
     const daemon = this.#daemonOf(attemptId);
     if (daemon === undefined) {
--- a/test/soak/overload.ts
+++ b/test/soak/overload.ts
@@ -21,7 +21,7 @@
 const { values } = parseArgs({
   options: {
     program: { type: 'string', default: DEFAULT_PROGRAM },
-    /** Share of a processor that the daemon gets. */
+    /** Share of a processor that is available to the daemon. */
     share: { type: 'string', default: '0.12' },
     /** Requests per second of each phase. */
     rates: { type: 'string', default: '200,800,1600,200' },
