--- a/src/core/ownership/replica-repair.ts
+++ b/src/core/ownership/replica-repair.ts
@@ -23,10 +23,10 @@
     return false;
   }
   const { membership, timing } = context.state;
-  const lastAnswerAt = replica.progress.get(id)?.lastReplyAt ?? context.now;
-  const unresponsive = context.now - lastAnswerAt >= timing.replicaReplacementDelay;
-  const gone = !isAlive(membership, daemonOfReplica(id), incarnationOfReplica(id));
-  return gone && unresponsive;
+  const lastReplyAt = replica.progress.get(id)?.lastReplyAt ?? context.now;
+  const isUnresponsive = context.now - lastReplyAt >= timing.replicaReplacementDelay;
+  const isAbsent = !isAlive(membership, daemonOfReplica(id), incarnationOfReplica(id));
+  return isAbsent && isUnresponsive;
 }
 
 function chooseReplacement(
@@ -38,11 +38,11 @@
   const daemons = replica.log.replicas.map(daemonOfReplica);
   const members = daemons.map((id) => membership.members.get(id)).filter((member) => member !== undefined);
   const zones = new Set(members.map((member) => member.zone));
-  const free = aliveMembers(membership).filter(
+  const availableMembers = aliveMembers(membership).filter(
     (member) => member.status === 'alive' && !daemons.includes(member.id),
   );
-  const otherZone = free.filter((member) => !zones.has(member.zone));
-  const candidates = otherZone.length > 0 ? otherZone : free;
+  const inOtherZones = availableMembers.filter((member) => !zones.has(member.zone));
+  const candidates = inOtherZones.length > 0 ? inOtherZones : availableMembers;
   return chooseReplicas(replica.shard, candidates, count)[0];
 }
 
