--- a/src/core/ownership/server-session.ts
+++ b/src/core/ownership/server-session.ts
@@ -1,5 +1,5 @@
 /**
- * A shard leader's view of one server: its lease, and the units that it may hold. When in doubt, the session
+ * A shard leader's view of one server: its lease, and the units that it may hold. When uncertain, the session
  * assumes that the server may still hold a unit. docs/design/leases.md gives the argument.
  */
 import type { Epoch, Milliseconds, ServerId, UnitNumber } from '../identifiers.js';
@@ -89,12 +89,12 @@
 
 /** Makes a clock stamp usable once a quorum has confirmed the leader after the stamp was received. */
 export function confirmStamp(session: ServerSession, quorumRound: number, requireQuorum: boolean): void {
-  const { unconfirmedStamp: unconfirmed } = session;
-  if (unconfirmed === null) {
+  const { unconfirmedStamp } = session;
+  if (unconfirmedStamp === null) {
     return;
   }
-  if (!requireQuorum || quorumRound >= unconfirmed.confirmingRound) {
-    session.stamp = { clock: unconfirmed.clock, receivedAt: unconfirmed.receivedAt };
+  if (!requireQuorum || quorumRound >= unconfirmedStamp.confirmingRound) {
+    session.stamp = { clock: unconfirmedStamp.clock, receivedAt: unconfirmedStamp.receivedAt };
     session.unconfirmedStamp = null;
   }
 }
