--- a/src/router/limits/limit-readings.ts
+++ b/src/router/limits/limit-readings.ts
@@ -31,10 +31,10 @@
   server: ServerId,
   { unreadable }: UnreadableLimit,
 ): void {
-  const { counters, serviceProfiles: profiles, servers } = context.state;
+  const { counters, serviceProfiles, servers } = context.state;
   counters.malformed_limits += 1;
   const service = servers.get(server)?.server.service;
-  const profile = service === undefined ? undefined : profiles.get(service);
+  const profile = service === undefined ? undefined : serviceProfiles.get(service);
   if (profile?.loggedUnreadableLimit === false) {
     profile.loggedUnreadableLimit = true;
     const found = unreadable.slice(0, MAX_LOGGED_CHARACTERS);
--- a/src/router/limits/permit-exchange.ts
+++ b/src/router/limits/permit-exchange.ts
@@ -123,15 +123,15 @@
 /** Detects permit requests that timed out, and tests at intervals whether the leader answers again. */
 export function tickPermitServiceHealth(context: RouterContext): void {
   const { state, now } = context;
-  const { permitContact: contact } = state;
+  const { permitContact } = state;
   for (const server of state.limits.servers()) {
     if (state.servers.get(server)?.permits.removeOverdue(now) === true && state.leadership === null) {
-      contact.isUnresponsive = true;
+      permitContact.isUnresponsive = true;
     }
   }
   const [limitedServer] = state.limits.inForce.keys();
-  if (contact.isUnresponsive && now >= contact.nextProbeAt && limitedServer !== undefined) {
-    contact.nextProbeAt = now + PROBE_INTERVAL;
+  if (permitContact.isUnresponsive && now >= permitContact.nextProbeAt && limitedServer !== undefined) {
+    permitContact.nextProbeAt = now + PROBE_INTERVAL;
     const { daemon } = state.identity;
     const ask = {
       server: limitedServer,
--- a/src/router/notices/server-notices.ts
+++ b/src/router/notices/server-notices.ts
@@ -23,7 +23,7 @@
 }
 
 function handleBackOffRequest(context: RouterContext, known: KnownServer, rest: BackOffReading): void {
-  const { counters, serviceProfiles: profiles } = context.state;
+  const { counters, serviceProfiles } = context.state;
   const { id, service } = known.server;
   if (rest === null) {
     return;
@@ -34,7 +34,7 @@
     return;
   }
   counters.malformed_rest_requests += 1;
-  const profile = profiles.get(service);
+  const profile = serviceProfiles.get(service);
   if (profile?.loggedUnreadableBackoff === false) {
     profile.loggedUnreadableBackoff = true;
     const found = rest.unreadable.slice(0, MAX_LOGGED_CHARACTERS);
--- a/src/router/ownership/leader-plan.ts
+++ b/src/router/ownership/leader-plan.ts
@@ -96,7 +96,7 @@
  */
 function newestServerAt(context: RouterContext, leadership: Leadership, service: ServiceName): Milliseconds {
   const known = context.state.serversByService.get(service)?.values() ?? [];
-  return Math.max(leadership.startedAt, ...[...known].map(({ firstSeenAt: knownSince }) => knownSince));
+  return Math.max(leadership.startedAt, ...[...known].map(({ firstSeenAt }) => firstSeenAt));
 }
 
 /**
--- a/src/router/ownership/leader.ts
+++ b/src/router/ownership/leader.ts
@@ -51,7 +51,7 @@
  * server list changes.
  */
 export function recordServerList(context: RouterContext, leadership: Leadership): void {
-  const { servers, serverIdsByInstance: lives } = context.state;
+  const { servers, serverIdsByInstance } = context.state;
   const listedAt = new Map<string, ServerId>();
   for (const { server } of servers.values()) {
     leadership.addresses.set(server.id, server.address);
@@ -61,7 +61,8 @@
     // An address or a name is reused only after the server that had it has ended.
     const address = leadership.addresses.get(owner);
     const successor =
-      lives.get(instanceOf(owner)) ?? (address === undefined ? undefined : listedAt.get(address));
+      serverIdsByInstance.get(instanceOf(owner)) ??
+      (address === undefined ? undefined : listedAt.get(address));
     const { ended } = leaseOf(leadership, owner);
     if (successor !== undefined && !servers.has(owner) && !ended) {
       recordSuccessor(leadership, owner, successor);
--- a/src/router/ownership/service-plan.ts
+++ b/src/router/ownership/service-plan.ts
@@ -183,7 +183,7 @@
     const chosen = [
       maxBy((server) => -this.#utilisation(server)),
       maxBy(spareRate),
-      maxBy(({ throughput: maximum }) => usableRate(maximum)),
+      maxBy(({ throughput }) => usableRate(throughput)),
     ];
     return [...new Set(chosen)].filter((server) => server !== undefined);
   }
--- a/src/router/ownership/table-write.ts
+++ b/src/router/ownership/table-write.ts
@@ -68,26 +68,26 @@
   leadership: Leadership,
   event: ObjectWrittenEvent,
 ): void {
-  const { pendingWrite: write } = leadership;
-  if (write === null) {
+  const { pendingWrite } = leadership;
+  if (pendingWrite === null) {
     return;
   }
   const { outcome } = event;
   if (outcome.kind === 'written') {
-    adoptTable(context, leadership, write.table, outcome.revision);
+    adoptTable(context, leadership, pendingWrite.table, outcome.revision);
     return;
   }
   if (outcome.kind === 'conflict') {
     const record = parseOwnershipRecord(outcome.value);
-    if (record?.writeId === write.writeId) {
-      adoptTable(context, leadership, write.table, outcome.revision);
+    if (record?.writeId === pendingWrite.writeId) {
+      adoptTable(context, leadership, pendingWrite.table, outcome.revision);
     } else {
       stepDown(context, 'another daemon wrote the table', null);
     }
     return;
   }
   context.state.counters.ownership_write_failures += 1;
-  write.retryAt = context.now + WRITE_RETRY_DELAY;
+  pendingWrite.retryAt = context.now + WRITE_RETRY_DELAY;
 }
 
 function adoptTable(
--- a/src/router/quarantine/crash-detection.ts
+++ b/src/router/quarantine/crash-detection.ts
@@ -77,8 +77,8 @@
 
 /** Confirms crashes by a new list of servers: the entry is gone, or another incarnation has the address. */
 export function confirmCrashesByServerList(context: RouterContext): void {
-  const { brokenConnections: serverEnds, servers, serversByService } = context.state;
-  for (const entry of [...serverEnds.broken.values()]) {
+  const { brokenConnections, servers, serversByService } = context.state;
+  for (const entry of [...brokenConnections.broken.values()]) {
     const { id, address, service } = entry.server;
     const others = serversByService.get(service)?.values() ?? [];
     if (!servers.has(id)) {
@@ -122,13 +122,13 @@
 
 /** Handles the outcome of a control call if it was a crash detection probe. Returns whether it was. */
 export function receiveCrashProbe(context: RouterContext, callId: number, outcome: ControlOutcome): boolean {
-  const { brokenConnections: serverEnds } = context.state;
-  const server = serverEnds.probes.get(callId);
+  const { brokenConnections } = context.state;
+  const server = brokenConnections.probes.get(callId);
   if (server === undefined) {
     return false;
   }
-  serverEnds.probes.delete(callId);
-  const entry = serverEnds.broken.get(server);
+  brokenConnections.probes.delete(callId);
+  const entry = brokenConnections.broken.get(server);
   if (entry === undefined) {
     return true;
   }
@@ -137,7 +137,7 @@
   } else if (outcome.kind === 'notSent' && outcome.refused) {
     confirmCrash(context, entry, 'connections are refused');
   } else if (outcome.kind === 'accepted') {
-    serverEnds.broken.delete(server);
+    brokenConnections.broken.delete(server);
   } else if (entry.probes >= MAX_PROBES && isUnresponsive(outcome)) {
     confirmCrash(context, entry, 'no probe is answered');
   }
--- a/src/router/quarantine/quarantine.ts
+++ b/src/router/quarantine/quarantine.ts
@@ -91,9 +91,9 @@
 
 /** Exonerates a server that has answered a request, if the request was sent after this daemon learned of the crash. */
 export function recordServerAlive(context: RouterContext, server: ServerId, sentAt: Milliseconds): void {
-  const { crashTable: crashes } = context.state;
-  if (!crashes.isEmpty) {
-    broadcastRecords(context, crashes.exonerateServer(server, sentAt, context.now), 'observed');
+  const { crashTable } = context.state;
+  if (!crashTable.isEmpty) {
+    broadcastRecords(context, crashTable.exonerateServer(server, sentAt, context.now), 'observed');
   }
 }
 
@@ -117,9 +117,9 @@
 }
 
 function exonerateRequest(context: RouterContext, fingerprint: RequestFingerprint, reason: string): void {
-  const { crashTable: crashes } = context.state;
-  const wasQuarantined = crashes.isQuarantined(fingerprint);
-  const record = crashes.exonerateRequest(fingerprint, context.now);
+  const { crashTable } = context.state;
+  const wasQuarantined = crashTable.isQuarantined(fingerprint);
+  const record = crashTable.exonerateRequest(fingerprint, context.now);
   if (record === null) {
     return;
   }
@@ -135,12 +135,14 @@
   records: readonly CrashRecord[],
   source: RecordSource,
 ): void {
-  const { crashTable: crashes } = context.state;
+  const { crashTable } = context.state;
   const quarantinedBefore = new Set(
-    records.map(({ fingerprint }) => fingerprint).filter((value) => crashes.isFingerprintQuarantined(value)),
+    records
+      .map(({ fingerprint }) => fingerprint)
+      .filter((value) => crashTable.isFingerprintQuarantined(value)),
   );
   const changed = records
-    .map((record) => crashes.merge(record, context.now))
+    .map((record) => crashTable.merge(record, context.now))
     .filter((record) => record !== null);
   broadcastRecords(context, changed, source);
   changed
@@ -176,11 +178,11 @@
  * request is repeated very often, until one more server has crashed under it.
  */
 export function isRefusedByQuarantine(context: RouterContext, request: ActiveRequest): boolean {
-  const { crashTable: crashes, leadership } = context.state;
-  if (!crashes.isQuarantined(request.fingerprint)) {
+  const { crashTable, leadership } = context.state;
+  if (!crashTable.isQuarantined(request.fingerprint)) {
     return false;
   }
-  if (leadership === null || !crashes.tryAcquireRetest(request.fingerprint, context.now)) {
+  if (leadership === null || !crashTable.tryAcquireRetest(request.fingerprint, context.now)) {
     return true;
   }
   context.log('quarantine_retested', { fingerprint: request.fingerprint.value });
@@ -201,11 +203,11 @@
  */
 export function isHeldBack(context: RouterContext, { fingerprint }: ActiveRequest): boolean {
   const { state, now } = context;
-  const { crashTable: crashes, leadership, bounds } = state;
-  if (crashes.isEmpty || !crashes.isHeldBack(fingerprint, bounds.contact * CONFIRMATION_SHARE, now)) {
+  const { crashTable, leadership, bounds } = state;
+  if (crashTable.isEmpty || !crashTable.isHeldBack(fingerprint, bounds.contact * CONFIRMATION_SHARE, now)) {
     return false;
   }
-  return leadership === null || !crashes.tryAcquireTrial(fingerprint, now);
+  return leadership === null || !crashTable.tryAcquireTrial(fingerprint, now);
 }
 
 /** Refuses a request that is held back. It has not run, so the caller may repeat it. */
@@ -225,15 +227,15 @@
 /** Quarantines the requests that have been suspected for the confirmation time, and removes expired records. */
 export function tickQuarantine(context: RouterContext): void {
   const { state, now } = context;
-  const { crashTable: crashes, bounds } = state;
-  if (crashes.isEmpty) {
+  const { crashTable, bounds } = state;
+  if (crashTable.isEmpty) {
     return;
   }
-  const confirmed = crashes.confirmSuspicions(bounds.contact * CONFIRMATION_SHARE, now);
+  const confirmed = crashTable.confirmSuspicions(bounds.contact * CONFIRMATION_SHARE, now);
   broadcastRecords(context, confirmed, 'observed');
   confirmed.forEach((record) => beginQuarantine(context, record));
   if (now >= state.nextCrashExpiryAt) {
     state.nextCrashExpiryAt = now + EXPIRY_INTERVAL;
-    crashes.removeExpired(now);
+    crashTable.removeExpired(now);
   }
 }
--- a/src/router/quarantine/stored-quarantines.ts
+++ b/src/router/quarantine/stored-quarantines.ts
@@ -42,22 +42,29 @@
 /** Reads the quarantines that earlier leaders stored, then writes each change. */
 export function tickStoredQuarantines(context: RouterContext): void {
   const { state, now } = context;
-  const { leadership, storedQuarantines: stored } = state;
-  if (leadership === null || now - leadership.confirmedAt > LEADERSHIP_VALIDITY || now < stored.nextCallAt) {
+  const { leadership, storedQuarantines } = state;
+  if (
+    leadership === null ||
+    now - leadership.confirmedAt > LEADERSHIP_VALIDITY ||
+    now < storedQuarantines.nextCallAt
+  ) {
     return;
   }
-  if (stored.term !== leadership.term) {
-    stored.nextCallAt = now + CALL_INTERVAL;
-    stored.pendingFingerprints = null;
+  if (storedQuarantines.term !== leadership.term) {
+    storedQuarantines.nextCallAt = now + CALL_INTERVAL;
+    storedQuarantines.pendingFingerprints = null;
     context.emit({ kind: 'readObject', object: 'quarantines' });
     return;
   }
   const value = currentQuarantines(context);
   const fingerprints = sortedFingerprints(value);
-  if (stored.pendingFingerprints === null && fingerprints !== stored.storedFingerprints) {
-    stored.nextCallAt = now + CALL_INTERVAL;
-    stored.pendingFingerprints = fingerprints;
-    context.emit({ kind: 'writeObject', object: 'quarantines', value, revision: stored.revision });
+  if (
+    storedQuarantines.pendingFingerprints === null &&
+    fingerprints !== storedQuarantines.storedFingerprints
+  ) {
+    storedQuarantines.nextCallAt = now + CALL_INTERVAL;
+    storedQuarantines.pendingFingerprints = fingerprints;
+    context.emit({ kind: 'writeObject', object: 'quarantines', value, revision: storedQuarantines.revision });
   }
 }
 
@@ -84,31 +91,31 @@
 
 /** Handles the result of the leader's read of the stored quarantines. */
 export function receiveQuarantinesRead(context: RouterContext, { outcome }: ObjectReadEvent): void {
-  const { leadership, storedQuarantines: stored } = context.state;
+  const { leadership, storedQuarantines } = context.state;
   if (leadership === null || outcome.kind === 'failed') {
     return;
   }
-  stored.term = leadership.term;
+  storedQuarantines.term = leadership.term;
   if (outcome.kind === 'found') {
     applyStoredQuarantines(context, outcome.value, outcome.revision);
   } else {
-    stored.revision = null;
-    stored.storedFingerprints = '';
+    storedQuarantines.revision = null;
+    storedQuarantines.storedFingerprints = '';
   }
 }
 
 /** Handles the result of the leader's write of the stored quarantines. */
 export function receiveQuarantinesWritten(context: RouterContext, { outcome }: ObjectWrittenEvent): void {
-  const { storedQuarantines: stored } = context.state;
-  const { pendingFingerprints } = stored;
-  stored.pendingFingerprints = null;
+  const { storedQuarantines } = context.state;
+  const { pendingFingerprints } = storedQuarantines;
+  storedQuarantines.pendingFingerprints = null;
   if (outcome.kind === 'written' && pendingFingerprints !== null) {
-    stored.revision = outcome.revision;
-    stored.storedFingerprints = pendingFingerprints;
+    storedQuarantines.revision = outcome.revision;
+    storedQuarantines.storedFingerprints = pendingFingerprints;
   } else if (outcome.kind === 'conflict') {
     applyStoredQuarantines(context, outcome.value, outcome.revision);
   } else if (outcome.kind === 'unknown') {
     // The write may have been applied, or may still be applied later: the object is read again before the next write.
-    stored.term = null;
+    storedQuarantines.term = null;
   }
 }
--- a/src/router/request/attempt-outcome.ts
+++ b/src/router/request/attempt-outcome.ts
@@ -109,9 +109,9 @@
     known.load.report(reading, context.now);
     return reading;
   }
-  const { counters, serviceProfiles: profiles } = context.state;
+  const { counters, serviceProfiles } = context.state;
   const { id, service } = known.server;
-  const profile = profiles.get(service);
+  const profile = serviceProfiles.get(service);
   counters.malformed_load_reports += 1;
   if (profile?.loggedUnreadableLoad === false) {
     profile.loggedUnreadableLoad = true;
--- a/src/router/request/destination.ts
+++ b/src/router/request/destination.ts
@@ -100,15 +100,15 @@
 
 /** Returns the owner of a key, or a refusal while this daemon doesn't know that the owner holds the key. */
 function findOwner(context: RouterContext, service: ServiceName, key: number): KnownServer | RoutingRefusal {
-  const { ownershipView: view, servers, recentlyRejectedUnits: doubtedUnits } = context.state;
-  const unit = view.unitOf(service, key);
+  const { ownershipView, servers, recentlyRejectedUnits } = context.state;
+  const unit = ownershipView.unitOf(service, key);
   if (unit === undefined) {
     return createRefusal('the key has no owner', true);
   }
   if (!unit.granted) {
     return createRefusal(`the key is on its way to ${unit.owner}`, true);
   }
-  if (doubtedUnits.has(unit.fence, context.now)) {
+  if (recentlyRejectedUnits.has(unit.fence, context.now)) {
     return createRefusal(`the owner ${unit.owner} does not hold the key yet`, true);
   }
   return servers.get(unit.owner) ?? createRefusal(`the owner ${unit.owner} is not listed`, true);
--- a/src/router/request/request-arrival.ts
+++ b/src/router/request/request-arrival.ts
@@ -47,13 +47,13 @@
 
 /** Admits requests that arrived before the first configuration and list of servers, or refuses them once their hold time is over. */
 export function processEarlyRequests(context: RouterContext): void {
-  const { earlyRequests: early, configuration, serversRevision } = context.state;
-  for (const [requestId, { event, readAt }] of early) {
+  const { earlyRequests, configuration, serversRevision } = context.state;
+  for (const [requestId, { event, readAt }] of earlyRequests) {
     if (configuration !== null && serversRevision !== null) {
-      early.delete(requestId);
+      earlyRequests.delete(requestId);
       admitRequest(context, event, configuration, readAt);
     } else if (context.now - readAt >= FIRST_CONFIGURATION_HOLD) {
-      early.delete(requestId);
+      earlyRequests.delete(requestId);
       refuseBeforeAdmission(
         context,
         event,
--- a/src/router/request/request-dispatch.ts
+++ b/src/router/request/request-dispatch.ts
@@ -36,11 +36,11 @@
 
 /** Returns the retry budget of a service. */
 export function retryBudgetOf(context: RouterContext, service: string): RetryBudget {
-  const { retryBudgets: budgets, bounds, daemons } = context.state;
-  let budget = budgets.get(service);
+  const { retryBudgets, bounds, daemons } = context.state;
+  let budget = retryBudgets.get(service);
   if (budget === undefined) {
     budget = new RetryBudget(bounds.retries, daemons);
-    budgets.set(service, budget);
+    retryBudgets.set(service, budget);
   }
   return budget;
 }
--- a/src/router/request/request-ticks.ts
+++ b/src/router/request/request-ticks.ts
@@ -26,8 +26,8 @@
 /** Cancels the request of a caller that closed its connection. */
 export function receiveCallerLeft(context: RouterContext, event: CallerLeftEvent): void {
   const { state } = context;
-  const { requestId, attemptId, isArrivalReported: isTakenIn } = event;
-  if (!isTakenIn) {
+  const { requestId, attemptId, isArrivalReported } = event;
+  if (!isArrivalReported) {
     state.counters.callers_left_unread += 1;
     context.log('caller_left', {
       attempt_id: attemptId,
--- a/src/router/server-directory.ts
+++ b/src/router/server-directory.ts
@@ -96,11 +96,11 @@
 }
 
 function removeServer(context: RouterContext, id: ServerId, revision: number): void {
-  const { servers, serverIdsByInstance: lives, serversByService, counters } = context.state;
+  const { servers, serverIdsByInstance, serversByService, counters } = context.state;
   const known = servers.get(id);
   if (known !== undefined) {
     servers.delete(id);
-    lives.delete(instanceOf(id));
+    serverIdsByInstance.delete(instanceOf(id));
     context.emit({ kind: 'forgetConnections', address: known.server.address });
     serversByService.get(known.server.service)?.delete(id);
     counters.server_changes += 1;
@@ -109,11 +109,11 @@
 }
 
 function getOrCreateProfile(context: RouterContext, service: ServiceName): ServiceProfile {
-  const { serviceProfiles: profiles } = context.state;
-  let profile = profiles.get(service);
+  const { serviceProfiles } = context.state;
+  let profile = serviceProfiles.get(service);
   if (profile === undefined) {
     profile = new ServiceProfile();
-    profiles.set(service, profile);
+    serviceProfiles.set(service, profile);
   }
   return profile;
 }
--- a/src/router/tree/children.ts
+++ b/src/router/tree/children.ts
@@ -77,12 +77,13 @@
 }
 
 function sendMissedUpdates(context: RouterContext, link: number, child: Child, report: Report): void {
-  const { ownershipView: view, leadership, election } = context.state;
-  const isCurrent = view.term > 0 && view.term === (leadership?.term ?? election.leader?.term);
+  const { ownershipView, leadership, election } = context.state;
+  const isCurrent =
+    ownershipView.term > 0 && ownershipView.term === (leadership?.term ?? election.leader?.term);
   const isChanging = leadership?.viewChanged === true;
-  if (isCurrent && report.ownershipSequence !== view.sequence && !isChanging) {
+  if (isCurrent && report.ownershipSequence !== ownershipView.sequence && !isChanging) {
     // The child missed an ownership change or has just connected.
-    context.emit({ kind: 'sendToChildren', link, message: fullOwnershipMessage(view) });
+    context.emit({ kind: 'sendToChildren', link, message: fullOwnershipMessage(ownershipView) });
   }
   sendUpdatesSince(context, link, child, report);
 }
--- a/test/router/support/limit-simulation.ts
+++ b/test/router/support/limit-simulation.ts
@@ -83,9 +83,13 @@
   }
 
   #sendRequests(daemon: SimulatedDaemon, interval: number): void {
-    const { keys = DEFAULT_KEYS, usesBalancedService: isPlain = false } = this.#options;
+    const { keys = DEFAULT_KEYS, usesBalancedService = false } = this.#options;
     const key = keys[Math.floor(this.#random.fraction() * keys.length)] as number;
-    this.traffic.sendRequest(daemon, { name: `k${key}`, route: isPlain ? BALANCED_SERVICE : SERVICE, key });
+    this.traffic.sendRequest(daemon, {
+      name: `k${key}`,
+      route: usesBalancedService ? BALANCED_SERVICE : SERVICE,
+      key,
+    });
     // Exponentially distributed gaps: callers are independent of each other.
     const gap = -Math.log(1 - this.#random.fraction()) * interval;
     this.simulation.clock.schedule(gap, () => this.#sendRequests(daemon, interval));
