--- a/src/router-runtime/caller-frontend.ts
+++ b/src/router-runtime/caller-frontend.ts
@@ -235,7 +235,7 @@
       method,
       host,
       target,
-      callerPatience: this.#readCallerTimeout(rawHeaders),
+      callerTimeout: this.#readCallerTimeout(rawHeaders),
       key,
       fingerprint: new LazyFingerprint({ method, host, target, credentials, body }),
       readDelay,
--- a/src/router/events.ts
+++ b/src/router/events.ts
@@ -131,7 +131,7 @@
   readonly host: string;
   readonly target: string;
   /** How long the caller will wait for the response; null: not stated. */
-  readonly callerPatience: Milliseconds | null;
+  readonly callerTimeout: Milliseconds | null;
   readonly key: Key | null;
   readonly fingerprint: RequestFingerprint;
   /** How long the request may have waited unread because the event loop was behind. */
--- a/src/router/limits/limit-probes.ts
+++ b/src/router/limits/limit-probes.ts
@@ -17,7 +17,11 @@
   for (const [server, { at }] of state.limits.inForce) {
     const known = state.servers.get(server);
     const lastActivityAt = Math.max(at, lastPermitOrProbeAt(leadership, server));
-    if (known !== undefined && now - lastActivityAt >= IDLE_TIME_BEFORE_PROBE && known.rest.left(now) === 0) {
+    if (
+      known !== undefined &&
+      now - lastActivityAt >= IDLE_TIME_BEFORE_PROBE &&
+      known.backOff.left(now) === 0
+    ) {
       leadership.limitProbedAt.set(server, now);
       probeServer(context, known.server, PROBE_TIMEOUT);
     }
--- a/src/router/limits/limit-propagation.ts
+++ b/src/router/limits/limit-propagation.ts
@@ -24,7 +24,11 @@
 }
 
 /** Merges limits that another daemon sent, and forwards those that others lack. */
-export function receiveLimitNews(context: RouterContext, { limits }: LimitNews, source: UpdateSource): void {
+export function receiveLimitUpdate(
+  context: RouterContext,
+  { limits }: LimitNews,
+  source: UpdateSource,
+): void {
   const { state, now } = context;
   for (const statement of limits) {
     const { server, age } = statement;
--- a/src/router/news/store-updates.ts
+++ b/src/router/news/store-updates.ts
@@ -86,16 +86,16 @@
 }
 
 /** Handles another daemon's message with changes of servers. */
-export function receiveServerNews(context: RouterContext, news: ServerNews, source: UpdateSource): void {
+export function receiveServerUpdate(context: RouterContext, update: ServerNews, source: UpdateSource): void {
   const position = context.state.serversRevision ?? 0;
-  if (news.revision <= position) {
+  if (update.revision <= position) {
     return;
   }
-  if (news.base === 0) {
-    const servers = news.changes.map(({ server }) => server).filter((server) => server !== null);
-    applyServerList(context, { kind: 'serversListed', servers, revision: news.revision }, source);
-  } else if (news.base <= position) {
-    applyServerChanges(context, news.changes, news.revision, source);
+  if (update.base === 0) {
+    const servers = update.changes.map(({ server }) => server).filter((server) => server !== null);
+    applyServerList(context, { kind: 'serversListed', servers, revision: update.revision }, source);
+  } else if (update.base <= position) {
+    applyServerChanges(context, update.changes, update.revision, source);
   } else {
     // Earlier changes were missed. The report shows the parent this daemon's position, and the parent sends them.
     sendReportSoon(context);
@@ -103,7 +103,7 @@
 }
 
 /** Handles another daemon's message with a configuration. */
-export function receiveConfigurationNews(
+export function receiveConfigurationUpdate(
   context: RouterContext,
   { configuration, revision }: ConfigurationNews,
   source: UpdateSource,
@@ -111,12 +111,12 @@
   applyConfiguration(context, { kind: 'configuration', configuration, revision }, source);
 }
 
-function createFullServerNews(context: RouterContext, revision: number): ServerNews {
+function createFullServerUpdate(context: RouterContext, revision: number): ServerNews {
   const changes = [...context.state.servers.values()].map(({ server }) => directory.toServerChange(server));
   return { kind: 'serverNews', base: 0, revision, changes };
 }
 
-function missedServerNews(context: RouterContext, child: Child, position: number): ServerNews | null {
+function missedServerUpdate(context: RouterContext, child: Child, position: number): ServerNews | null {
   const { serverHistory, serversRevision } = context.state;
   if (serversRevision === null || position >= serverHistory.endRevision) {
     return null;
@@ -129,13 +129,13 @@
     return null;
   }
   child.serversSentAt = context.now;
-  return createFullServerNews(context, serversRevision);
+  return createFullServerUpdate(context, serversRevision);
 }
 
 /** Sends a child the updates that it lacks according to its report. */
 export function sendUpdatesSince(context: RouterContext, link: number, child: Child, report: Report): void {
   const { configuration, configurationRevision } = context.state;
-  const servers = missedServerNews(context, child, report.serversPosition);
+  const servers = missedServerUpdate(context, child, report.serversPosition);
   if (servers !== null) {
     context.emit({ kind: 'sendToChildren', link, message: servers });
   }
--- a/src/router/notices/draining-updates.ts
+++ b/src/router/notices/draining-updates.ts
@@ -18,7 +18,7 @@
 }
 
 /** Handles another daemon's message about draining servers. */
-export function receiveLeavingNews(
+export function receiveDrainingUpdate(
   context: RouterContext,
   { servers }: LeavingNews,
   source: UpdateSource,
--- a/src/router/notices/server-notices.ts
+++ b/src/router/notices/server-notices.ts
@@ -22,35 +22,35 @@
   }
 }
 
-function handleBackOffRequest(context: RouterContext, known: KnownServer, rest: BackOffReading): void {
+function handleBackOffRequest(context: RouterContext, known: KnownServer, backOff: BackOffReading): void {
   const { counters, serviceProfiles } = context.state;
   const { id, service } = known.server;
-  if (rest === null) {
+  if (backOff === null) {
     return;
   }
-  if (typeof rest === 'number') {
+  if (typeof backOff === 'number') {
     counters.rest_requests += 1;
-    startBackOff(context, known, rest);
+    startBackOff(context, known, backOff);
     return;
   }
   counters.malformed_rest_requests += 1;
   const profile = serviceProfiles.get(service);
   if (profile?.loggedUnreadableBackoff === false) {
     profile.loggedUnreadableBackoff = true;
-    const found = rest.unreadable.slice(0, MAX_LOGGED_CHARACTERS);
+    const found = backOff.unreadable.slice(0, MAX_LOGGED_CHARACTERS);
     context.log('malformed_rest_request', { server: id, service, found }, 'warn');
   }
 }
 
-function startBackOff(context: RouterContext, known: KnownServer, rest: Milliseconds): void {
+function startBackOff(context: RouterContext, known: KnownServer, backOff: Milliseconds): void {
   const { state, now } = context;
   const { id, service } = known.server;
-  if (known.rest.extend(rest, now)) {
-    context.log('server_asks_rest', { server: id, service, milliseconds: Math.round(rest) });
+  if (known.backOff.extend(backOff, now)) {
+    context.log('server_asks_rest', { server: id, service, milliseconds: Math.round(backOff) });
   }
   withdrawUnsentRequests(context, known);
-  if (state.configuration?.services.get(service)?.keyed === true && rest >= MIN_BACK_OFF_TO_MOVE_KEYS) {
-    state.tree.rests.push({ server: id, daemon: state.identity.daemon, left: rest });
+  if (state.configuration?.services.get(service)?.keyed === true && backOff >= MIN_BACK_OFF_TO_MOVE_KEYS) {
+    state.tree.rests.push({ server: id, daemon: state.identity.daemon, left: backOff });
     reportOverload(context);
   }
 }
--- a/src/router/ownership/report-aggregation.ts
+++ b/src/router/ownership/report-aggregation.ts
@@ -52,7 +52,7 @@
   leadership.nextReportAggregationAt = now + REPORT_AGGREGATION_INTERVAL;
   aggregateLoad(context, leadership);
   detectFormerLeaderRestart(context, leadership);
-  state.tree.rests.forEach((rest) => leadership.rests.add(rest, now));
+  state.tree.rests.forEach((backOffReport) => leadership.rests.add(backOffReport, now));
   state.tree.rests = [];
   if (state.tree.overloaded) {
     state.tree.overloaded = false;
--- a/src/router/ownership/unit-control.ts
+++ b/src/router/ownership/unit-control.ts
@@ -110,7 +110,7 @@
  * renewals do not.
  */
 function isBackingOff({ state, now }: RouterContext, server: ServerId): boolean {
-  return (state.servers.get(server)?.rest.left(now) ?? 0) > 0;
+  return (state.servers.get(server)?.backOff.left(now) ?? 0) > 0;
 }
 
 /**
--- a/src/router/quarantine/crash-detection.ts
+++ b/src/router/quarantine/crash-detection.ts
@@ -103,7 +103,7 @@
 
 /** Whether a probe is due. A server in back-off isn't probed: it has answered, and a probe is one more request. */
 function isProbeDue({ state, now }: RouterContext, entry: SuspectedCrash): boolean {
-  const backOffLeft = state.servers.get(entry.server.id)?.rest.left(now) ?? 0;
+  const backOffLeft = state.servers.get(entry.server.id)?.backOff.left(now) ?? 0;
   return now >= entry.nextProbeAt && entry.probes < MAX_PROBES && backOffLeft === 0;
 }
 
--- a/src/router/quarantine/quarantine.ts
+++ b/src/router/quarantine/quarantine.ts
@@ -152,7 +152,11 @@
 }
 
 /** Handles another daemon's message about crashed servers. */
-export function receiveCrashNews(context: RouterContext, { records }: CrashNews, source: UpdateSource): void {
+export function receiveCrashUpdate(
+  context: RouterContext,
+  { records }: CrashNews,
+  source: UpdateSource,
+): void {
   mergeCrashRecords(context, records, source);
 }
 
--- a/src/router/reducer.ts
+++ b/src/router/reducer.ts
@@ -13,7 +13,7 @@
 } from './events.js';
 import type { Milliseconds } from './model/identifiers.js';
 import { tickLimitProbes } from './limits/limit-probes.js';
-import { receiveLimitNews, tickLimitUpdates } from './limits/limit-propagation.js';
+import { receiveLimitUpdate, tickLimitUpdates } from './limits/limit-propagation.js';
 import {
   resetPermitServiceHealth,
   receivePermitAsk,
@@ -37,7 +37,7 @@
 import { applyStoredEvacuationChanges, applyStoredEvacuationList } from './news/apply-evacuations.js';
 import { tickStoreWatching } from './news/store-watching.js';
 import { createNoticeSnapshots } from './notices/notice-snapshots.js';
-import { receiveLeavingNews } from './notices/draining-updates.js';
+import { receiveDrainingUpdate } from './notices/draining-updates.js';
 import { receiveServerNotice } from './notices/server-notices.js';
 import * as quarantine from './quarantine/quarantine.js';
 import {
@@ -248,18 +248,18 @@
     case 'redirect':
       return leads ? undefined : receiveRedirect(context, message);
     case 'serverNews':
-      news.receiveServerNews(context, message, source);
+      news.receiveServerUpdate(context, message, source);
       processEarlyRequests(context);
       return handleServerChanges(context);
     case 'configurationNews':
-      news.receiveConfigurationNews(context, message, source);
+      news.receiveConfigurationUpdate(context, message, source);
       return processEarlyRequests(context);
     case 'crashNews':
-      return quarantine.receiveCrashNews(context, message, source);
+      return quarantine.receiveCrashUpdate(context, message, source);
     case 'leavingNews':
-      return receiveLeavingNews(context, message, source);
+      return receiveDrainingUpdate(context, message, source);
     case 'limitNews':
-      return receiveLimitNews(context, message, source);
+      return receiveLimitUpdate(context, message, source);
     case 'permitAsk':
       return processPermitAnswers(context, receivePermitAsk(context, link, message));
     case 'permitAnswer':
--- a/src/router/request/attempt-outcome.ts
+++ b/src/router/request/attempt-outcome.ts
@@ -84,7 +84,7 @@
       if (request.usedPermit) {
         known?.permits.returnUnused(now);
       }
-      if (known?.rest.left(now) === 0) {
+      if (known?.backOff.left(now) === 0) {
         avoidAfterFailure(known, now);
       }
       dispatchRequest(context, request);
@@ -128,7 +128,7 @@
   now: Milliseconds,
 ): void {
   const duration = now - request.attemptStartedAt;
-  known?.rest.recordAnswer(request.attemptStartedAt);
+  known?.backOff.recordAnswer(request.attemptStartedAt);
   known?.load.answered(duration, now, mayHaveWaited(request, load));
   known?.load.window.answered(duration, request.route.latencyObjective, known.load.inFlight.size, now);
 }
@@ -146,7 +146,7 @@
 ): void {
   const { now } = context;
   const reading = recordLoadReport(context, known, result.load);
-  if (known !== undefined && known.rest.left(now) > 0) {
+  if (known !== undefined && known.backOff.left(now) > 0) {
     // The server's back-off decides: the request goes to another server, or is refused with the remaining time.
     dispatchRequest(context, request);
     return;
--- a/src/router/request/cold-admission.ts
+++ b/src/router/request/cold-admission.ts
@@ -12,7 +12,7 @@
 
 const SECOND: Milliseconds = 1_000;
 /**
- * Number of standard deviations between the mean number of turns in a second and the bound. The turns of many daemons coincide at random,
+ * Number of standard deviations between the mean number of send windows in a second and the bound. The windows of many daemons coincide at random,
  * and no second may have more requests than the bound.
  */
 const STANDARD_DEVIATIONS = 5;
@@ -23,13 +23,13 @@
  * @param maxPerSecond bound on the requests in one second
  */
 export function meanColdRate(maxPerSecond: number): number {
-  // Solves m + d * sqrt(m) = maxPerSecond for the mean m. The last factor: one second overlaps turns that begin in SECOND + TURN.
+  // Solves m + d * sqrt(m) = maxPerSecond for the mean m. The last factor: one second overlaps send windows that begin in SECOND + SEND_WINDOW.
   const root =
     (Math.sqrt(STANDARD_DEVIATIONS * STANDARD_DEVIATIONS + 4 * maxPerSecond) - STANDARD_DEVIATIONS) / 2;
   return (root * root) / (1 + SEND_WINDOW / SECOND);
 }
 
-/** Returns the time between the starts of two turns of one daemon at one cold server. */
-export function coldTurnInterval(maxPerSecond: number, daemons: number): Milliseconds {
+/** Returns the time between the starts of two send windows of one daemon at one cold server. */
+export function coldSendInterval(maxPerSecond: number, daemons: number): Milliseconds {
   return sendWindowInterval(meanColdRate(maxPerSecond), daemons);
 }
--- a/src/router/request/destination.ts
+++ b/src/router/request/destination.ts
@@ -5,7 +5,7 @@
 import type { KnownServer } from '../router-state.js';
 import { equalShare } from '../sharing/equal-share.js';
 import type { ActiveRequest } from './active-request.js';
-import { coldTurnInterval } from './cold-admission.js';
+import { coldSendInterval } from './cold-admission.js';
 import {
   createPermitRefusal,
   type RoutingRefusal,
@@ -41,14 +41,14 @@
   return Math.max(1, Math.floor(equalShare(limit * USED_CONNECTION_FRACTION, daemons)));
 }
 
-/** Returns the time between two turns of this daemon at a cold server of a service; null: requests to cold servers are not bounded. */
+/** Returns the time between two send windows of this daemon at a cold server of a service; null: requests to cold servers are not bounded. */
 function coldIntervalOf(context: RouterContext, service: ServiceName): Milliseconds | null {
   const { configuration, daemons, bounds } = context.state;
   const rate = configuration?.services.get(service)?.coldRequestRate ?? 0;
   if (bounds.coldStart === null || rate === 0) {
     return null;
   }
-  return coldTurnInterval(rate * bounds.coldStart.factor + bounds.coldStart.slack, daemons);
+  return coldSendInterval(rate * bounds.coldStart.factor + bounds.coldStart.slack, daemons);
 }
 
 function withoutLimit(): null {
@@ -157,7 +157,7 @@
     (known) => !isDraining(known),
   );
   const waits = remaining.map((known) => ({
-    backoff: known.rest.left(context.now),
+    backoff: known.backOff.left(context.now),
     permit: timeUntilPermit(context, request, known),
   }));
   const left = Math.min(...waits.map(({ backoff, permit }) => Math.max(backoff, permit)));
--- a/src/router/request/refusals.ts
+++ b/src/router/request/refusals.ts
@@ -12,7 +12,7 @@
 const RETRY_SPREAD_FRACTION = 0.25;
 /** Minimum spread of the retry times for a rate limit, so that callers don't all come back for the next permit. */
 const MIN_LIMIT_RETRY_SPREAD: Milliseconds = 200;
-/** Upper bound of the wait that callers are told, before the spread is added; a server may ask for a back-off without an end. */
+/** Upper bound of the wait announced to callers, before the spread is added; a server may ask for a back-off without an end. */
 const MAX_RETRY_AFTER: Milliseconds = 3_600_000;
 /** Time after which a caller should retry when the owner of its key can't be reached now. */
 const OWNER_RETRY_AFTER: Milliseconds = 200;
@@ -120,7 +120,7 @@
   ineligibility: Ineligibility,
 ): RoutingRefusal {
   const { now, state } = context;
-  const { server, rest, coldUntil, drainingSince } = known;
+  const { server, backOff, coldUntil, drainingSince } = known;
   const owner = `the owner ${server.id}`;
   switch (ineligibility) {
     case 'draining':
@@ -129,7 +129,7 @@
     case 'evacuated':
       return createRefusal(`the zone of ${owner} is evacuated`, true);
     case 'backing_off':
-      return createBackoffRefusal(context, request, `${owner} wants rest`, rest.left(now));
+      return createBackoffRefusal(context, request, `${owner} wants rest`, backOff.left(now));
     case 'recovering':
       return createTransientRefusal(`${owner} takes one request at a time after its rest`);
     case 'cold': {
--- a/src/router/request/request-arrival.ts
+++ b/src/router/request/request-arrival.ts
@@ -133,7 +133,7 @@
   readAt: Milliseconds,
 ): ActiveRequest {
   const arrivedAt = readAt - event.readDelay;
-  const timeout = Math.min(event.callerPatience ?? route.timeout, route.timeout);
+  const timeout = Math.min(event.callerTimeout ?? route.timeout, route.timeout);
   return {
     id: event.requestId,
     attemptId: event.attemptId,
--- a/src/router/request/request-dispatch.ts
+++ b/src/router/request/request-dispatch.ts
@@ -119,7 +119,7 @@
   }
   usePermit(context, request, known);
   known.load.inFlight.set(request.id, context.now);
-  known.coldTurns.recordSend(context.now);
+  known.coldSendWindows.recordSend(context.now);
   known.load.window.sent(context.now);
   context.emit({
     kind: 'forward',
--- a/src/router/request/server-eligibility.ts
+++ b/src/router/request/server-eligibility.ts
@@ -17,10 +17,10 @@
   readonly load: ServerLoad;
   /** Time until which the server is cold after its start. */
   readonly coldUntil: Milliseconds;
-  /** Turns in which this daemon may send to the server while it is cold. */
-  readonly coldTurns: SendWindows;
+  /** Windows in which this daemon may send to the server while it is cold. */
+  readonly coldSendWindows: SendWindows;
   /** Back-off that the server asked of this daemon. */
-  readonly rest: ServerBackOff;
+  readonly backOff: ServerBackOff;
   /** Time at which draining began; null when the server isn't draining. */
   readonly drainingSince: Milliseconds | null;
   /** Permits of this daemon for the server's rate limit. */
@@ -37,7 +37,7 @@
   readonly evacuationGrace: Milliseconds;
   /** A server is skipped for its failures only from this number of them since its last answer. */
   readonly toleratedFailures: number;
-  /** Time between two turns of this daemon at a cold server; null: cold servers get as many requests as warm ones. */
+  /** Time between two send windows of this daemon at a cold server; null: cold servers get as many requests as warm ones. */
   readonly coldInterval: Milliseconds | null;
   /** Maximum number of this daemon's requests in flight at one server. */
   readonly maxInFlight: number;
@@ -66,17 +66,17 @@
 /** Returns why a server may not get a request now, or null when it may. */
 export function findIneligibility(known: CandidateServer, context: EligibilityContext): Ineligibility | null {
   const { now } = context;
-  const { load, rest } = known;
+  const { load, backOff } = known;
   if (isPastDrainingGrace(known, context)) {
     return 'draining';
   }
   if (isPastEvacuationGrace(known, context)) {
     return 'evacuated';
   }
-  if (rest.left(now) > 0) {
+  if (backOff.left(now) > 0) {
     return 'backing_off';
   }
-  if (!rest.allowsRequest(load.inFlight.size, now)) {
+  if (!backOff.allowsRequest(load.inFlight.size, now)) {
     return 'recovering';
   }
   if (!isAllowedWhileCold(known, context)) {
@@ -122,10 +122,10 @@
   return age !== null && age >= evacuationGrace;
 }
 
-/** Returns whether the server is warm, or is cold and this daemon has a turn there. */
+/** Returns whether the server is warm, or is cold and this daemon has a send window there. */
 function isAllowedWhileCold(
-  { coldUntil, coldTurns }: CandidateServer,
+  { coldUntil, coldSendWindows }: CandidateServer,
   { coldInterval, now }: EligibilityContext,
 ): boolean {
-  return coldUntil <= now || coldInterval === null || coldTurns.allows(coldInterval, now);
+  return coldUntil <= now || coldInterval === null || coldSendWindows.allows(coldInterval, now);
 }
--- a/src/router/router-state.ts
+++ b/src/router/router-state.ts
@@ -56,11 +56,11 @@
   /** When the server's warm-up ends, as far as this daemon knows. */
   coldUntil: Milliseconds;
   /** Spaces out this daemon's requests to the server while it is cold. */
-  readonly coldTurns: SendWindows;
+  readonly coldSendWindows: SendWindows;
   /** When this daemon first saw the server's entry. */
   readonly firstSeenAt: Milliseconds;
   /** The back-off that the server has requested from this daemon. */
-  readonly rest: ServerBackOff;
+  readonly backOff: ServerBackOff;
   /** This daemon's permits for the server while the server announces a rate limit. */
   readonly permits: Permits;
   /** When this daemon learned from the entry or a response, whichever came first, that the server is draining; null: it isn't. */
--- a/src/router/server-directory.ts
+++ b/src/router/server-directory.ts
@@ -133,9 +133,9 @@
       server,
       load: new ServerLoad(getOrCreateProfile(context, server.service), server.slots, context.state.daemons),
       coldUntil: context.now + server.warmupLeft,
-      coldTurns: new SendWindows(phase),
+      coldSendWindows: new SendWindows(phase),
       permits: new Permits(phase),
-      rest: new ServerBackOff(),
+      backOff: new ServerBackOff(),
       firstSeenAt: context.now,
       drainingSince: drainingSince(context, server),
     };
--- a/test/router/news/test-changes-in-force.ts
+++ b/test/router/news/test-changes-in-force.ts
@@ -53,7 +53,7 @@
     .flatMap((daemon) => feedsBehind(daemon, version).map((feed) => `${daemon.name}: ${feed}`));
 }
 
-function createSettledWorld(seed: number, daemons = 11): RouterSimulation {
+function createSettledSimulation(seed: number, daemons = 11): RouterSimulation {
   const world = new RouterSimulation(seed, daemons, 6);
   world.clock.runUntil(SETTLING_TIME);
   return world;
@@ -107,7 +107,7 @@
 describe('a change in the store', () => {
   it('is in force in time after an outage in which all daemons that watched the store were killed', () => {
     for (const [seed, killedAfter] of cases(5)) {
-      const world = createSettledWorld(seed);
+      const world = createSettledSimulation(seed);
       simulateOutage(world, storeWatchers(world), killedAfter);
       expectChangesInForce(world);
     }
@@ -115,7 +115,7 @@
 
   it('is in force in time after an outage in which most daemons but the leader were killed', () => {
     for (const [seed, killedAfter] of cases(10)) {
-      const world = createSettledWorld(seed);
+      const world = createSettledSimulation(seed);
       const leader = leaderOf(world);
       const others = world.daemons.filter((daemon) => daemon !== leader);
       simulateOutage(world, others.slice(0, 7), killedAfter);
@@ -125,7 +125,7 @@
 
   it('is in force in time when the connections of all watches stop responding', () => {
     for (let seed = 1; seed <= 6; seed += 1) {
-      const world = createSettledWorld(seed);
+      const world = createSettledSimulation(seed);
       world.blockWatches();
       changeEverything(world, 2);
       world.clock.runUntil(world.clock.now + CONTACT_TIME);
@@ -138,7 +138,7 @@
 
   it('is in force in time below relays, too', () => {
     for (let seed = 1; seed <= 2; seed += 1) {
-      const world = createSettledWorld(seed, 40);
+      const world = createSettledSimulation(seed, 40);
       simulateOutage(world, storeWatchers(world));
       world.blockWatches();
       world.clock.runUntil(world.clock.now + CONTACT_TIME);
@@ -150,7 +150,7 @@
 
   it('is in force in time when it was made while watches reported nothing and the history is compacted afterwards', () => {
     for (let seed = 1; seed <= 6; seed += 1) {
-      const world = createSettledWorld(seed);
+      const world = createSettledSimulation(seed);
       [world.configurations, world.serverEntries, world.evacuations].forEach((feed) =>
         feed.dropHistory(1_000),
       );
@@ -163,7 +163,7 @@
 
   it('reaches the daemons that the store serves when it refuses the leader and its watchers', () => {
     for (let seed = 1; seed <= 6; seed += 1) {
-      const world = createSettledWorld(seed);
+      const world = createSettledSimulation(seed);
       storeWatchers(world).forEach((daemon) => (daemon.storeReachable = false));
       world.clock.runUntil(world.clock.now + 100);
       changeEverything(world, 2);
@@ -177,7 +177,7 @@
   });
 
   it('costs few calls, because only the leader and two other daemons watch the store', () => {
-    const world = createSettledWorld(1);
+    const world = createSettledSimulation(1);
     const calls = (): number =>
       [world.configurations, world.serverEntries].reduce(
         (sum, { listCalls: lists, watchCalls: watches }) => sum + lists + watches,
--- a/test/router/notices/test-back-off-simulation.ts
+++ b/test/router/notices/test-back-off-simulation.ts
@@ -8,7 +8,7 @@
 const SERVERS = 10;
 const FAULTY_SERVERS = 3;
 const SETTLING_TIME = 6_000;
-/** The faulty servers reject every request for this long, and ask for a back-off of REST each time. */
+/** The faulty servers reject every request for this long, and ask for a back-off of BACK_OFF each time. */
 const FAULT_TIME = 9_000;
 /** Least share of all requests meanwhile that are answered. It is 0.87 when keys stay with such owners. */
 const MIN_SERVED_SHARE = 0.9;
--- a/test/router/ownership/test-isolation.ts
+++ b/test/router/ownership/test-isolation.ts
@@ -54,7 +54,7 @@
   rejectRequest(): void {
     const requestId = this.#nextRequest;
     this.#nextRequest += 1;
-    const description = { method: 'GET', host: 'h.example', target: '/racks/1', callerPatience: 900, key: 7 };
+    const description = { method: 'GET', host: 'h.example', target: '/racks/1', callerTimeout: 900, key: 7 };
     const fingerprint = fingerprintOf(`request ${requestId}`);
     this.event({
       kind: 'requestArrived',
--- a/test/router/ownership/test-server-incarnations.ts
+++ b/test/router/ownership/test-server-incarnations.ts
@@ -93,9 +93,9 @@
     daemon.event({ kind: 'serversChanged', changes: next, revision: 7 });
     expect(daemon.effectsOfKind('forgetConnections').map(({ address }) => address)).toInclude('10.0.0.1:80');
     const known = daemon.state.servers.get('s1#2');
-    expect([known?.drainingSince, known?.rest.left(daemon.now)]).toEqual([null, 0]);
+    expect([known?.drainingSince, known?.backOff.left(daemon.now)]).toEqual([null, 0]);
     daemon.event({ kind: 'serverNoticed', server: 's1#1', notice: { leaving: true, rest: 5_000 } });
-    expect([known?.drainingSince, known?.rest.left(daemon.now)]).toEqual([null, 0]);
+    expect([known?.drainingSince, known?.backOff.left(daemon.now)]).toEqual([null, 0]);
   });
 
   it('is not restored by an older entry of the server list', () => {
--- a/test/router/ownership/test-suspension.ts
+++ b/test/router/ownership/test-suspension.ts
@@ -81,7 +81,7 @@
     method: 'GET',
     host: 'h.example',
     target: `/${SERVICE}/1`,
-    callerPatience: 900,
+    callerTimeout: 900,
     key: 7,
     fingerprint: { head: '', value: '' },
     readDelay: 0,
--- a/test/router/request/test-cold-admission.ts
+++ b/test/router/request/test-cold-admission.ts
@@ -2,7 +2,7 @@
 import fc from 'fast-check';
 import { describe, it } from 'node:test';
 import { SeededRandom } from '../../../src/core/random.js';
-import { coldTurnInterval, meanColdRate } from '../../../src/router/request/cold-admission.js';
+import { coldSendInterval, meanColdRate } from '../../../src/router/request/cold-admission.js';
 import { SendWindows } from '../../../src/router/sharing/send-windows.js';
 
 /** Bound on the requests in a second: 1.5 times the 4.2 requests a second that a cold server can handle, plus 8. */
@@ -20,7 +20,7 @@
 
 /** Returns the times at which requests reach a cold server that every daemon prefers. */
 function simulateArrivals({ daemons, demand, restartOneIn }: Fleet, random: SeededRandom): number[] {
-  const interval = coldTurnInterval(MAX_PER_SECOND, daemons);
+  const interval = coldSendInterval(MAX_PER_SECOND, daemons);
   const sent: number[] = [];
   for (let daemon = 0; daemon < daemons; daemon += 1) {
     let turns = new SendWindows(random.fraction());
@@ -76,9 +76,9 @@
     }
   });
 
-  it('are one for each turn of a daemon, however many requests it has', () => {
+  it('are one for each send window of a daemon, however many requests it has', () => {
     const turns = new SendWindows(0);
-    const interval = coldTurnInterval(MAX_PER_SECOND, 11);
+    const interval = coldSendInterval(MAX_PER_SECOND, 11);
     let sent = 0;
     for (let now = 0; now < interval; now += 5) {
       if (turns.allows(interval, now)) {
--- a/test/router/request/test-draining-answers.ts
+++ b/test/router/request/test-draining-answers.ts
@@ -62,8 +62,8 @@
       servers: [entry, describeServer('s2'), describeServer('s3')],
       revision: 8,
     });
-    const news = { kind: 'leavingNews', servers: [{ server: 's1', age: 100 }] } as const;
-    daemon.event({ kind: 'peerMessage', link: -1, message: { ...news, servers: [...news.servers] } });
+    const update = { kind: 'leavingNews', servers: [{ server: 's1', age: 100 }] } as const;
+    daemon.event({ kind: 'peerMessage', link: -1, message: { ...update, servers: [...update.servers] } });
     const draining = { ...entry, draining: true, revision: 9 };
     daemon.event({ kind: 'serversChanged', changes: [{ id: 's1', server: draining }], revision: 9 });
     expect(daemon.state.servers.get('s1')?.drainingSince).toEqual(noticedAt);
--- a/test/router/request/test-server-backoff.ts
+++ b/test/router/request/test-server-backoff.ts
@@ -69,7 +69,7 @@
     daemon.ended(1, 1, { kind: 'answered', status: 200, load: null });
     daemon.tickUntil(daemon.now + 40);
     expect(daemon.effectsOfKind('forward').length).toEqual(2);
-    expect(daemon.state.servers.get('s4')?.rest.allowsRequest(2, daemon.now)).toEqual(true);
+    expect(daemon.state.servers.get('s4')?.backOff.allowsRequest(2, daemon.now)).toEqual(true);
   });
 
   it('has unsent attempts withdrawn and not sent again', () => {
--- a/test/router/request/test-server-eligibility.ts
+++ b/test/router/request/test-server-eligibility.ts
@@ -18,14 +18,14 @@
 const DRAINING_GRACE = 1_000;
 
 function ineligibleServer(): CandidateServer {
-  const rest = new ServerBackOff();
-  rest.extend(2_000, NOW);
+  const backOff = new ServerBackOff();
+  backOff.extend(2_000, NOW);
   return {
     server: describeServer('s1'),
     load: new ServerLoad(new ServiceProfile(), 2, 11),
     coldUntil: NOW + 4_000,
-    coldTurns: new SendWindows(0.5),
-    rest,
+    coldSendWindows: new SendWindows(0.5),
+    backOff,
     drainingSince: null,
     permits: new Permits(0),
   };
@@ -61,7 +61,7 @@
   });
 
   it('check last whether the rate limit leaves a permit in time', () => {
-    const known = { ...ineligibleServer(), rest: new ServerBackOff(), coldUntil: 0 };
+    const known = { ...ineligibleServer(), backOff: new ServerBackOff(), coldUntil: 0 };
     known.permits.recordDenied(1, 1, 500, NOW);
     expect(findIneligibility(known, checkInputs(NOW, 3))).toEqual('at_limit');
     known.permits.recordGranted(2, NOW);
--- a/test/router/request/test-server-load.ts
+++ b/test/router/request/test-server-load.ts
@@ -20,8 +20,8 @@
     load,
     coldUntil: 0,
     drainingSince: null,
-    rest: new ServerBackOff(),
-    coldTurns: new SendWindows(0),
+    backOff: new ServerBackOff(),
+    coldSendWindows: new SendWindows(0),
     permits: new Permits(0),
   };
 }
--- a/test/router/support/request-traffic.ts
+++ b/test/router/support/request-traffic.ts
@@ -144,7 +144,7 @@
       method: 'GET',
       host: 'h.example',
       target: `/${route}/${name}`,
-      callerPatience: CALLER_TIMEOUT,
+      callerTimeout: CALLER_TIMEOUT,
       key,
       fingerprint: fingerprintOf(name),
       readDelay: 0,
@@ -228,9 +228,9 @@
       return;
     }
     this.deliveries.push({ name, server: server.id, daemon, at: clock.now });
-    const rest = this.backOffs.get(server);
-    if (rest !== undefined) {
-      clock.schedule(NETWORK_DELAY, () => this.#reject(server, attempt, rest));
+    const backOff = this.backOffs.get(server);
+    if (backOff !== undefined) {
+      clock.schedule(NETWORK_DELAY, () => this.#reject(server, attempt, backOff));
       return;
     }
     const slots = this.#slotFreeAt.get(server) ?? Array.from({ length: SLOTS }, () => 0);
@@ -247,11 +247,11 @@
     clock.schedule(startsAt + work - clock.now, () => this.#finish(server, attempt));
   }
 
-  #reject(server: SimulatedServer, attempt: RunningAttempt, rest: number): void {
+  #reject(server: SimulatedServer, attempt: RunningAttempt, backOff: number): void {
     const { daemon, life, effect } = attempt;
     this.#reportLimit(server, attempt, server.limit);
     if (daemon.life === life) {
-      const notice = { leaving: false, rest };
+      const notice = { leaving: false, rest: backOff };
       this.#simulation.deliver(daemon, { kind: 'serverNoticed', server: effect.server, notice });
     }
     this.#end(attempt, { kind: 'rejected', status: 503, misdirected: false, load: null });
--- a/test/router/support/single-daemon.ts
+++ b/test/router/support/single-daemon.ts
@@ -124,12 +124,12 @@
   receiveRequest(
     requestId: number,
     target: string,
-    callerPatience: number | null = 900,
+    callerTimeout: number | null = 900,
     key: number | null = null,
     readDelay = 0,
   ): void {
     const attemptId = `a-${requestId}`;
-    const request = { requestId, attemptId, method: 'GET', host: 'h.example', target, callerPatience, key };
+    const request = { requestId, attemptId, method: 'GET', host: 'h.example', target, callerTimeout, key };
     this.event({
       kind: 'requestArrived',
       ...request,
--- a/test/router/test-suspension.ts
+++ b/test/router/test-suspension.ts
@@ -39,7 +39,7 @@
 
 for (const [name, bootClock] of Object.entries(CLOCKS)) {
   describe(`a daemon whose machine was suspended, with a clock that ${name}`, () => {
-    it('is not ready before it has heard from the leader or the store', () => {
+    it('is not ready before it has received a message of the leader or an answer of the store', () => {
       const { simulation, leader } = createSettledSimulation(bootClock);
       for (const daemon of [
         leader,
--- a/test/router/tree/test-tree-world.ts
+++ b/test/router/tree/test-tree-world.ts
@@ -4,7 +4,7 @@
 
 const DAEMONS = 60;
 
-function createSettledWorld(seed: number): RouterSimulation {
+function createSettledSimulation(seed: number): RouterSimulation {
   const world = new RouterSimulation(seed, DAEMONS, 8);
   world.clock.runUntil(8_000);
   return world;
@@ -40,7 +40,7 @@
 
 describe('the propagation tree', () => {
   it('gives the leader few children, and brings all daemons up to date', () => {
-    const world = createSettledWorld(1);
+    const world = createSettledSimulation(1);
     expect(leaderOf(world).state.tree.children.size <= 16).toEqual(true);
     expect(relaysOf(world).length > 3).toEqual(true);
     expect(daemonsBehind(world)).toEqual([]);
@@ -48,14 +48,14 @@
   });
 
   it('needs three daemons that watch the store, for any number of daemons', () => {
-    const world = createSettledWorld(2);
+    const world = createSettledSimulation(2);
     const followers = world.daemons.filter(({ state }) => state.followsStore);
     expect(followers.length).toEqual(3);
     expect(world.serverEntries.listCalls <= 6).toEqual(true);
   });
 
   it('propagates to all daemons within half a second that a server is draining', () => {
-    const world = createSettledWorld(3);
+    const world = createSettledSimulation(3);
     const [server] = world.servers;
     world.drain(server?.id ?? '');
     world.clock.runUntil(world.clock.now + 500);
@@ -64,7 +64,7 @@
   });
 
   it('reconnects the children of a lost relay to the leader', () => {
-    const world = createSettledWorld(4);
+    const world = createSettledSimulation(4);
     const [relay] = relaysOf(world);
     if (relay !== undefined) {
       relay.alive = false;
@@ -74,7 +74,7 @@
   });
 
   it('keeps the subtrees of relays together when the leader is lost, with few reads of the store', () => {
-    const world = createSettledWorld(5);
+    const world = createSettledSimulation(5);
     const former = leaderOf(world);
     const readsBefore = world.store.readCount;
     former.alive = false;
@@ -88,7 +88,7 @@
   // Guards against daemons that never find the next leader after the store rejects the former leader and a third of the others.
   it('brings daemons whose store requests are rejected, a former leader among them, to the next leader', () => {
     for (let seed = 1; seed <= 4; seed += 1) {
-      const world = createSettledWorld(seed);
+      const world = createSettledSimulation(seed);
       const former = leaderOf(world);
       const others = world.daemons.filter((daemon) => daemon !== former);
       [former, ...others.slice(0, DAEMONS / 3)].forEach((daemon) => {
@@ -104,7 +104,7 @@
   });
 
   it('forms again after all daemons are lost and restarted', () => {
-    const world = createSettledWorld(6);
+    const world = createSettledSimulation(6);
     world.daemons.forEach((daemon) => {
       daemon.alive = false;
     });
