--- a/test/router/news/test-changes-in-force.ts
+++ b/test/router/news/test-changes-in-force.ts
@@ -31,10 +31,10 @@
 const RESTART_DELAY = 500;
 
 /** Changes data of every feed: the configuration, a server's entry and the evacuated zones. */
-function changeEverything(world: RouterSimulation, version: number): void {
-  world.configure({ ...CONFIGURATION, version });
-  world.changeSlots('s1', version);
-  world.evacuate([`elsewhere-${version}`]);
+function changeEverything(simulation: RouterSimulation, version: number): void {
+  simulation.configure({ ...CONFIGURATION, version });
+  simulation.changeSlots('s1', version);
+  simulation.evacuate([`elsewhere-${version}`]);
 }
 
 function feedsBehind({ state }: SimulatedDaemon, version: number): string[] {
@@ -47,35 +47,35 @@
 }
 
 /** Returns the running daemons that lack a change, with the feeds in which they lack it. */
-function daemonsBehind(world: RouterSimulation, version: number): string[] {
-  return world.daemons
+function daemonsBehind(simulation: RouterSimulation, version: number): string[] {
+  return simulation.daemons
     .filter(({ alive }) => alive)
     .flatMap((daemon) => feedsBehind(daemon, version).map((feed) => `${daemon.name}: ${feed}`));
 }
 
 function createSettledSimulation(seed: number, daemons = 11): RouterSimulation {
-  const world = new RouterSimulation(seed, daemons, 6);
-  world.clock.runUntil(SETTLING_TIME);
-  return world;
+  const simulation = new RouterSimulation(seed, daemons, 6);
+  simulation.clock.runUntil(SETTLING_TIME);
+  return simulation;
 }
 
 /** Makes the store unavailable; meanwhile some daemons are killed and restarted half a second later. */
 function simulateOutage(
-  world: RouterSimulation,
+  simulation: RouterSimulation,
   killed: readonly SimulatedDaemon[],
   killedAfter = LATE_KILL_TIME,
 ): void {
-  const from = world.clock.now;
-  world.store.downUntil = from + OUTAGE_TIME;
-  world.clock.runUntil(from + killedAfter);
+  const from = simulation.clock.now;
+  simulation.store.downUntil = from + OUTAGE_TIME;
+  simulation.clock.runUntil(from + killedAfter);
   killed.forEach((daemon) => (daemon.alive = false));
-  world.clock.runUntil(from + killedAfter + RESTART_DELAY);
-  killed.forEach((daemon) => world.startDaemon(daemon));
-  world.clock.runUntil(from + OUTAGE_TIME);
+  simulation.clock.runUntil(from + killedAfter + RESTART_DELAY);
+  killed.forEach((daemon) => simulation.startDaemon(daemon));
+  simulation.clock.runUntil(from + OUTAGE_TIME);
 }
 
-function leaderOf(world: RouterSimulation): SimulatedDaemon {
-  const leader = world.leader();
+function leaderOf(simulation: RouterSimulation): SimulatedDaemon {
+  const leader = simulation.leader();
   if (leader === undefined) {
     throw new Error('nobody leads');
   }
@@ -83,8 +83,8 @@
 }
 
 /** Returns the leader and the other daemons that watch the store. */
-function storeWatchers(world: RouterSimulation): SimulatedDaemon[] {
-  return world.daemons.filter(({ alive, state }) => alive && state.followsStore);
+function storeWatchers(simulation: RouterSimulation): SimulatedDaemon[] {
+  return simulation.daemons.filter(({ alive, state }) => alive && state.followsStore);
 }
 
 function cases(seeds: number): [seed: number, killedAfter: number][] {
@@ -93,101 +93,101 @@
 }
 
 /** Makes one change as soon as the store is back, then one every two seconds, and checks that each is in force in time. */
-function expectChangesInForce(world: RouterSimulation): void {
-  changeEverything(world, 2);
-  world.clock.runUntil(world.clock.now + CONTACT_TIME);
-  expect(daemonsBehind(world, 2)).toEqual([]);
+function expectChangesInForce(simulation: RouterSimulation): void {
+  changeEverything(simulation, 2);
+  simulation.clock.runUntil(simulation.clock.now + CONTACT_TIME);
+  expect(daemonsBehind(simulation, 2)).toEqual([]);
   for (let version = 3; version <= 12; version += 1) {
-    changeEverything(world, version);
-    world.clock.runUntil(world.clock.now + CHANGE_BOUND);
-    expect(daemonsBehind(world, version)).toEqual([]);
+    changeEverything(simulation, version);
+    simulation.clock.runUntil(simulation.clock.now + CHANGE_BOUND);
+    expect(daemonsBehind(simulation, version)).toEqual([]);
   }
 }
 
 describe('a change in the store', () => {
   it('is in force in time after an outage in which all daemons that watched the store were killed', () => {
     for (const [seed, killedAfter] of cases(5)) {
-      const world = createSettledSimulation(seed);
-      simulateOutage(world, storeWatchers(world), killedAfter);
-      expectChangesInForce(world);
+      const simulation = createSettledSimulation(seed);
+      simulateOutage(simulation, storeWatchers(simulation), killedAfter);
+      expectChangesInForce(simulation);
     }
   });
 
   it('is in force in time after an outage in which most daemons but the leader were killed', () => {
     for (const [seed, killedAfter] of cases(10)) {
-      const world = createSettledSimulation(seed);
-      const leader = leaderOf(world);
-      const others = world.daemons.filter((daemon) => daemon !== leader);
-      simulateOutage(world, others.slice(0, 7), killedAfter);
-      expectChangesInForce(world);
+      const simulation = createSettledSimulation(seed);
+      const leader = leaderOf(simulation);
+      const others = simulation.daemons.filter((daemon) => daemon !== leader);
+      simulateOutage(simulation, others.slice(0, 7), killedAfter);
+      expectChangesInForce(simulation);
     }
   });
 
   it('is in force in time when the connections of all watches stop responding', () => {
     for (let seed = 1; seed <= 6; seed += 1) {
-      const world = createSettledSimulation(seed);
-      world.blockWatches();
-      changeEverything(world, 2);
-      world.clock.runUntil(world.clock.now + CONTACT_TIME);
-      expect(daemonsBehind(world, 2)).toEqual([]);
-      changeEverything(world, 3);
-      world.clock.runUntil(world.clock.now + CHANGE_BOUND);
-      expect(daemonsBehind(world, 3)).toEqual([]);
+      const simulation = createSettledSimulation(seed);
+      simulation.blockWatches();
+      changeEverything(simulation, 2);
+      simulation.clock.runUntil(simulation.clock.now + CONTACT_TIME);
+      expect(daemonsBehind(simulation, 2)).toEqual([]);
+      changeEverything(simulation, 3);
+      simulation.clock.runUntil(simulation.clock.now + CHANGE_BOUND);
+      expect(daemonsBehind(simulation, 3)).toEqual([]);
     }
   });
 
   it('is in force in time below relays, too', () => {
     for (let seed = 1; seed <= 2; seed += 1) {
-      const world = createSettledSimulation(seed, 40);
-      simulateOutage(world, storeWatchers(world));
-      world.blockWatches();
-      world.clock.runUntil(world.clock.now + CONTACT_TIME);
-      changeEverything(world, 2);
-      world.clock.runUntil(world.clock.now + CHANGE_BOUND);
-      expect(daemonsBehind(world, 2)).toEqual([]);
+      const simulation = createSettledSimulation(seed, 40);
+      simulateOutage(simulation, storeWatchers(simulation));
+      simulation.blockWatches();
+      simulation.clock.runUntil(simulation.clock.now + CONTACT_TIME);
+      changeEverything(simulation, 2);
+      simulation.clock.runUntil(simulation.clock.now + CHANGE_BOUND);
+      expect(daemonsBehind(simulation, 2)).toEqual([]);
     }
   });
 
   it('is in force in time when it was made while watches reported nothing and the history is compacted afterwards', () => {
     for (let seed = 1; seed <= 6; seed += 1) {
-      const world = createSettledSimulation(seed);
-      [world.configurations, world.serverEntries, world.evacuations].forEach((feed) =>
+      const simulation = createSettledSimulation(seed);
+      [simulation.configurations, simulation.serverEntries, simulation.evacuations].forEach((feed) =>
         feed.dropHistory(1_000),
       );
-      world.clock.runUntil(world.clock.now + 400);
-      changeEverything(world, 2);
-      world.clock.runUntil(world.clock.now + CHANGE_BOUND);
-      expect(daemonsBehind(world, 2)).toEqual([]);
+      simulation.clock.runUntil(simulation.clock.now + 400);
+      changeEverything(simulation, 2);
+      simulation.clock.runUntil(simulation.clock.now + CHANGE_BOUND);
+      expect(daemonsBehind(simulation, 2)).toEqual([]);
     }
   });
 
   it('reaches the daemons that the store serves when it refuses the leader and its watchers', () => {
     for (let seed = 1; seed <= 6; seed += 1) {
-      const world = createSettledSimulation(seed);
-      storeWatchers(world).forEach((daemon) => (daemon.storeReachable = false));
-      world.clock.runUntil(world.clock.now + 100);
-      changeEverything(world, 2);
-      world.clock.runUntil(world.clock.now + CHANGE_BOUND);
-      const served = world.daemons.filter(({ storeReachable }) => storeReachable);
+      const simulation = createSettledSimulation(seed);
+      storeWatchers(simulation).forEach((daemon) => (daemon.storeReachable = false));
+      simulation.clock.runUntil(simulation.clock.now + 100);
+      changeEverything(simulation, 2);
+      simulation.clock.runUntil(simulation.clock.now + CHANGE_BOUND);
+      const served = simulation.daemons.filter(({ storeReachable }) => storeReachable);
       const missing = (): string[] => served.flatMap((daemon) => feedsBehind(daemon, 2));
       expect(missing().filter((feed) => feed !== 'evacuations')).toEqual([]);
-      world.clock.runUntil(world.clock.now + EVACUATION_BOUND - CHANGE_BOUND);
+      simulation.clock.runUntil(simulation.clock.now + EVACUATION_BOUND - CHANGE_BOUND);
       expect(missing()).toEqual([]);
     }
   });
 
   it('costs few calls, because only the leader and two other daemons watch the store', () => {
-    const world = createSettledSimulation(1);
+    const simulation = createSettledSimulation(1);
     const calls = (): number =>
-      [world.configurations, world.serverEntries].reduce(
+      [simulation.configurations, simulation.serverEntries].reduce(
         (sum, { listCalls: lists, watchCalls: watches }) => sum + lists + watches,
         0,
       );
     const before = calls();
-    world.clock.runUntil(world.clock.now + 10_000);
-    expect(storeWatchers(world).length).toEqual(3);
+    simulation.clock.runUntil(simulation.clock.now + 10_000);
+    expect(storeWatchers(simulation).length).toEqual(3);
     // Two feeds of three daemons, with one call per second each.
     expect(calls() - before <= 60).toEqual(true);
-    expect(leaderOf(world).state.followsStore).toEqual(true);
+    expect(leaderOf(simulation).state.followsStore).toEqual(true);
   });
 });
--- a/test/router/news/test-zone-evacuations.ts
+++ b/test/router/news/test-zone-evacuations.ts
@@ -7,17 +7,17 @@
 const MAX_MOVE_TIME = 2_500;
 const SETTLING_TIME = 6_000;
 
-function zoneOf(world: RouterSimulation, id: string): string | undefined {
-  return world.daemons[0]?.state.servers.get(id)?.server.zone;
+function zoneOf(simulation: RouterSimulation, id: string): string | undefined {
+  return simulation.daemons[0]?.state.servers.get(id)?.server.zone;
 }
 
-function ownerZones(world: RouterSimulation): (string | undefined)[] {
-  const units = world.leader()?.state.leadership?.table.units ?? [];
-  return [...new Set(units.map((unit) => zoneOf(world, unit.owner)))].sort();
+function ownerZones(simulation: RouterSimulation): (string | undefined)[] {
+  const units = simulation.leader()?.state.leadership?.table.units ?? [];
+  return [...new Set(units.map((unit) => zoneOf(simulation, unit.owner)))].sort();
 }
 
-function daemonsWithEvacuation(world: RouterSimulation, zone: string): SimulatedDaemon[] {
-  return world.daemons.filter(({ state }) => state.evacuations.has(zone));
+function daemonsWithEvacuation(simulation: RouterSimulation, zone: string): SimulatedDaemon[] {
+  return simulation.daemons.filter(({ state }) => state.evacuations.has(zone));
 }
 
 describe('ZoneEvacuations', () => {
@@ -51,81 +51,81 @@
 
 describe('an evacuated zone', () => {
   it('is known to every daemon at once, including those that the store refuses', () => {
-    const world = new RouterSimulation(1, 6, 9);
-    world.clock.runUntil(SETTLING_TIME);
-    const cut = world.daemons.filter((daemon) => !daemon.state.followsStore);
+    const simulation = new RouterSimulation(1, 6, 9);
+    simulation.clock.runUntil(SETTLING_TIME);
+    const cut = simulation.daemons.filter((daemon) => !daemon.state.followsStore);
     cut.forEach((daemon) => (daemon.storeReachable = false));
-    world.evacuate(['z1']);
-    world.clock.runUntil(SETTLING_TIME + 300);
-    expect(daemonsWithEvacuation(world, 'z1').length).toEqual(6);
-    world.evacuate([]);
-    world.clock.runUntil(SETTLING_TIME + 600);
-    expect(daemonsWithEvacuation(world, 'z1')).toEqual([]);
+    simulation.evacuate(['z1']);
+    simulation.clock.runUntil(SETTLING_TIME + 300);
+    expect(daemonsWithEvacuation(simulation, 'z1').length).toEqual(6);
+    simulation.evacuate([]);
+    simulation.clock.runUntil(SETTLING_TIME + 600);
+    expect(daemonsWithEvacuation(simulation, 'z1')).toEqual([]);
   });
 
   it('loses its units in time, and no key stays without an owner', () => {
     for (let seed = 1; seed <= 4; seed += 1) {
-      const world = new RouterSimulation(seed, 4, 9);
-      world.clock.runUntil(SETTLING_TIME);
-      world.evacuate(['z1']);
-      world.clock.runUntil(SETTLING_TIME + MAX_MOVE_TIME);
-      expect(ownerZones(world)).toEqual(['z0', 'z2']);
-      expect(world.unservedKeys()).toEqual([]);
+      const simulation = new RouterSimulation(seed, 4, 9);
+      simulation.clock.runUntil(SETTLING_TIME);
+      simulation.evacuate(['z1']);
+      simulation.clock.runUntil(SETTLING_TIME + MAX_MOVE_TIME);
+      expect(ownerZones(simulation)).toEqual(['z0', 'z2']);
+      expect(simulation.unservedKeys()).toEqual([]);
     }
   });
 
   it('stays evacuated when the leader is lost and when all daemons restart', () => {
-    const world = new RouterSimulation(3, 4, 9);
-    world.clock.runUntil(SETTLING_TIME);
-    world.evacuate(['z2']);
-    world.clock.runUntil(SETTLING_TIME + 100);
-    const leader = world.leader() as SimulatedDaemon;
+    const simulation = new RouterSimulation(3, 4, 9);
+    simulation.clock.runUntil(SETTLING_TIME);
+    simulation.evacuate(['z2']);
+    simulation.clock.runUntil(SETTLING_TIME + 100);
+    const leader = simulation.leader() as SimulatedDaemon;
     leader.alive = false;
-    world.clock.runUntil(SETTLING_TIME + 6_000);
-    expect(ownerZones(world)).toEqual(['z0', 'z1']);
-    world.daemons.forEach((daemon) => world.startDaemon(daemon));
-    world.clock.runUntil(SETTLING_TIME + 12_000);
-    expect(daemonsWithEvacuation(world, 'z2').length).toEqual(4);
-    expect(ownerZones(world)).toEqual(['z0', 'z1']);
+    simulation.clock.runUntil(SETTLING_TIME + 6_000);
+    expect(ownerZones(simulation)).toEqual(['z0', 'z1']);
+    simulation.daemons.forEach((daemon) => simulation.startDaemon(daemon));
+    simulation.clock.runUntil(SETTLING_TIME + 12_000);
+    expect(daemonsWithEvacuation(simulation, 'z2').length).toEqual(4);
+    expect(ownerZones(simulation)).toEqual(['z0', 'z1']);
   });
 
   it('is evacuated no longer after it is restored, and no key is without an owner', () => {
-    const world = new RouterSimulation(2, 3, 6);
-    world.clock.runUntil(SETTLING_TIME);
-    world.evacuate(['z1']);
-    world.clock.runUntil(SETTLING_TIME + 1_000);
-    world.evacuate([]);
-    world.clock.runUntil(SETTLING_TIME + 2_000);
-    expect(world.leader()?.state.evacuations.isEmpty).toEqual(true);
-    expect(world.unservedKeys()).toEqual([]);
+    const simulation = new RouterSimulation(2, 3, 6);
+    simulation.clock.runUntil(SETTLING_TIME);
+    simulation.evacuate(['z1']);
+    simulation.clock.runUntil(SETTLING_TIME + 1_000);
+    simulation.evacuate([]);
+    simulation.clock.runUntil(SETTLING_TIME + 2_000);
+    expect(simulation.leader()?.state.evacuations.isEmpty).toEqual(true);
+    expect(simulation.unservedKeys()).toEqual([]);
   });
 
   it('changes nothing when the zone is unknown', () => {
-    const world = new RouterSimulation(4, 3, 6);
-    world.clock.runUntil(SETTLING_TIME);
-    const before = world.leader()?.state.leadership?.table;
-    world.evacuate(['nowhere']);
-    world.clock.runUntil(SETTLING_TIME + 1_500);
-    expect(world.leader()?.state.leadership?.table).toEqual(before);
+    const simulation = new RouterSimulation(4, 3, 6);
+    simulation.clock.runUntil(SETTLING_TIME);
+    const before = simulation.leader()?.state.leadership?.table;
+    simulation.evacuate(['nowhere']);
+    simulation.clock.runUntil(SETTLING_TIME + 1_500);
+    expect(simulation.leader()?.state.leadership?.table).toEqual(before);
   });
 
   it('leaves units where they are when no other zone has servers', () => {
-    const world = new RouterSimulation(5, 3, 6);
-    world.clock.runUntil(SETTLING_TIME);
-    const before = ownerZones(world);
-    world.evacuate(['z0', 'z1', 'z2']);
-    world.clock.runUntil(SETTLING_TIME + 3_000);
-    expect(ownerZones(world)).toEqual(before);
+    const simulation = new RouterSimulation(5, 3, 6);
+    simulation.clock.runUntil(SETTLING_TIME);
+    const before = ownerZones(simulation);
+    simulation.evacuate(['z0', 'z1', 'z2']);
+    simulation.clock.runUntil(SETTLING_TIME + 3_000);
+    expect(ownerZones(simulation)).toEqual(before);
   });
 
   it('loses its units while another zone is lost', () => {
-    const world = new RouterSimulation(6, 3, 9);
-    world.clock.runUntil(SETTLING_TIME);
-    world.servers
-      .filter((server) => zoneOf(world, server.id) === 'z2')
+    const simulation = new RouterSimulation(6, 3, 9);
+    simulation.clock.runUntil(SETTLING_TIME);
+    simulation.servers
+      .filter((server) => zoneOf(simulation, server.id) === 'z2')
       .forEach((server) => (server.alive = false));
-    world.evacuate(['z1']);
-    world.clock.runUntil(SETTLING_TIME + 8_000);
-    expect(ownerZones(world)).toEqual(['z0']);
+    simulation.evacuate(['z1']);
+    simulation.clock.runUntil(SETTLING_TIME + 8_000);
+    expect(ownerZones(simulation)).toEqual(['z0']);
   });
 });
--- a/test/router/notices/test-back-off-reports.ts
+++ b/test/router/notices/test-back-off-reports.ts
@@ -6,42 +6,46 @@
 const SETTLING_TIME = 6_000;
 const BACK_OFF = 3_000;
 
-function ownsUnits(world: RouterSimulation, server: string): boolean {
-  return (world.leader()?.state.ownershipView.units ?? []).some(({ owner }) => owner === server);
+function ownsUnits(simulation: RouterSimulation, server: string): boolean {
+  return (simulation.leader()?.state.ownershipView.units ?? []).some(({ owner }) => owner === server);
 }
 
 describe('owners of keys that ask for a back-off', () => {
   it('lose their keys when they ask more than one daemon', () => {
-    const world = new RouterSimulation(3, 6, 5);
-    world.clock.runUntil(SETTLING_TIME);
-    const askedAt = world.clock.now;
-    world.daemons.slice(0, 3).forEach((daemon) => {
-      world.deliver(daemon, {
+    const simulation = new RouterSimulation(3, 6, 5);
+    simulation.clock.runUntil(SETTLING_TIME);
+    const askedAt = simulation.clock.now;
+    simulation.daemons.slice(0, 3).forEach((daemon) => {
+      simulation.deliver(daemon, {
         kind: 'serverNoticed',
         server: 's2',
         notice: { leaving: false, rest: BACK_OFF },
       });
     });
-    world.clock.runUntil(askedAt + 1_000);
-    expect(ownsUnits(world, 's2')).toEqual(false);
-    expect(world.unservedKeys()).toEqual([]);
-    expect(world.checker.violations).toEqual([]);
+    simulation.clock.runUntil(askedAt + 1_000);
+    expect(ownsUnits(simulation, 's2')).toEqual(false);
+    expect(simulation.unservedKeys()).toEqual([]);
+    expect(simulation.checker.violations).toEqual([]);
   });
 
   it('keep their keys when they ask only one daemon, or when no other server is left', () => {
-    const world = new RouterSimulation(3, 6, 2);
-    world.clock.runUntil(SETTLING_TIME);
+    const simulation = new RouterSimulation(3, 6, 2);
+    simulation.clock.runUntil(SETTLING_TIME);
     const notice = { leaving: false, rest: BACK_OFF };
-    world.deliver(world.daemons[0] as SimulatedDaemon, { kind: 'serverNoticed', server: 's2', notice });
-    world.clock.runUntil(world.clock.now + 1_000);
-    expect(ownsUnits(world, 's2')).toEqual(true);
-    for (const daemon of world.daemons) {
-      world.deliver(daemon, { kind: 'serverNoticed', server: 's1', notice });
-      world.deliver(daemon, { kind: 'serverNoticed', server: 's2', notice });
+    simulation.deliver(simulation.daemons[0] as SimulatedDaemon, {
+      kind: 'serverNoticed',
+      server: 's2',
+      notice,
+    });
+    simulation.clock.runUntil(simulation.clock.now + 1_000);
+    expect(ownsUnits(simulation, 's2')).toEqual(true);
+    for (const daemon of simulation.daemons) {
+      simulation.deliver(daemon, { kind: 'serverNoticed', server: 's1', notice });
+      simulation.deliver(daemon, { kind: 'serverNoticed', server: 's2', notice });
     }
-    world.clock.runUntil(world.clock.now + 1_000);
-    expect(world.unservedKeys()).toEqual([]);
-    expect(world.checker.violations).toEqual([]);
+    simulation.clock.runUntil(simulation.clock.now + 1_000);
+    expect(simulation.unservedKeys()).toEqual([]);
+    expect(simulation.checker.violations).toEqual([]);
   });
 
   it('are given no keys for twice the back-off, and are not affected by a short one', () => {
--- a/test/router/notices/test-back-off-simulation.ts
+++ b/test/router/notices/test-back-off-simulation.ts
@@ -27,8 +27,8 @@
 
 /** Simulates owners of keys that reject every request for a time. */
 function simulateBackOff(seed: number): Outcome {
-  const world = new RouterSimulation(seed, DAEMONS, SERVERS);
-  const traffic = new RequestTraffic(world, 0);
+  const simulation = new RouterSimulation(seed, DAEMONS, SERVERS);
+  const traffic = new RequestTraffic(simulation, 0);
   const random = new SeededRandom(seed);
   const ask = (daemon: SimulatedDaemon): void => {
     traffic.sendRequest(daemon, {
@@ -36,20 +36,22 @@
       route: SERVICE,
       key: Math.floor(random.fraction() * 128) * 512 + 7,
     });
-    world.clock.schedule(REQUEST_INTERVAL, () => ask(daemon));
+    simulation.clock.schedule(REQUEST_INTERVAL, () => ask(daemon));
   };
-  world.daemons.forEach((daemon, index) => world.clock.schedule(2_000 + index * 7, () => ask(daemon)));
-  world.clock.runUntil(SETTLING_TIME);
+  simulation.daemons.forEach((daemon, index) =>
+    simulation.clock.schedule(2_000 + index * 7, () => ask(daemon)),
+  );
+  simulation.clock.runUntil(SETTLING_TIME);
   const before = traffic.responses.length;
-  const faulty = world.servers.slice(0, FAULTY_SERVERS);
+  const faulty = simulation.servers.slice(0, FAULTY_SERVERS);
   faulty.forEach((server) => traffic.backOffs.set(server, BACK_OFF));
-  world.clock.runUntil(SETTLING_TIME + FAULT_TIME);
+  simulation.clock.runUntil(SETTLING_TIME + FAULT_TIME);
   traffic.backOffs.clear();
   const told = traffic.responses.slice(before);
-  expect(world.checker.violations).toEqual([]);
+  expect(simulation.checker.violations).toEqual([]);
   const ids = new Set(faulty.map(({ id }) => id));
   const sends = traffic.deliveries.filter(({ server, at }) => ids.has(server) && at >= SETTLING_TIME);
-  world.clock.runUntil(SETTLING_TIME + FAULT_TIME + 8_000);
+  simulation.clock.runUntil(SETTLING_TIME + FAULT_TIME + 8_000);
   expect(traffic.responses.slice(-100).filter(({ status }) => status === 200).length > 95).toEqual(true);
   return {
     servedShare: told.filter(({ status }) => status === 200).length / told.length,
--- a/test/router/notices/test-draining-updates.ts
+++ b/test/router/notices/test-draining-updates.ts
@@ -13,66 +13,66 @@
 /** Updates reach all daemons within this time, in ms, while the leader stays the same. */
 const PROPAGATION_TIME = 100;
 
-function ownsUnits(world: RouterSimulation, server: string): boolean {
-  return (world.leader()?.state.ownershipView.units ?? []).some(({ owner }) => owner === server);
+function ownsUnits(simulation: RouterSimulation, server: string): boolean {
+  return (simulation.leader()?.state.ownershipView.units ?? []).some(({ owner }) => owner === server);
 }
 
 /** Delivers a response whose server says that it is draining to a daemon that doesn't lead. */
-function deliverDrainingNotice(world: RouterSimulation): {
+function deliverDrainingNotice(simulation: RouterSimulation): {
   daemon: SimulatedDaemon;
   server: string;
   noticedAt: number;
 } {
-  const daemon = world.daemons.find(({ state }) => state.leadership === null) as SimulatedDaemon;
+  const daemon = simulation.daemons.find(({ state }) => state.leadership === null) as SimulatedDaemon;
   const server = 's2';
-  world.deliver(daemon, { kind: 'serverNoticed', server, notice: { leaving: true, rest: null } });
-  return { daemon, server, noticedAt: world.clock.now };
+  simulation.deliver(daemon, { kind: 'serverNoticed', server, notice: { leaving: true, rest: null } });
+  return { daemon, server, noticedAt: simulation.clock.now };
 }
 
 describe('the notice that a server is draining', () => {
   it('reaches every daemon, and the server loses its keys while it still accepts requests for them', () => {
-    const world = new RouterSimulation(3, 6, 5);
-    world.clock.runUntil(SETTLING_TIME);
-    expect(ownsUnits(world, 's2')).toEqual(true);
-    const { server, noticedAt } = deliverDrainingNotice(world);
-    world.clock.runUntil(noticedAt + PROPAGATION_TIME);
-    for (const { state } of world.daemons) {
+    const simulation = new RouterSimulation(3, 6, 5);
+    simulation.clock.runUntil(SETTLING_TIME);
+    expect(ownsUnits(simulation, 's2')).toEqual(true);
+    const { server, noticedAt } = deliverDrainingNotice(simulation);
+    simulation.clock.runUntil(noticedAt + PROPAGATION_TIME);
+    for (const { state } of simulation.daemons) {
       expect((state.servers.get(server)?.drainingSince ?? 0) - noticedAt < PROPAGATION_TIME).toEqual(true);
     }
-    world.clock.runUntil(noticedAt + BOUNDS.drain / 2);
-    expect(ownsUnits(world, server)).toEqual(false);
-    expect(world.unservedKeys()).toEqual([]);
-    expect(world.checker.violations).toEqual([]);
+    simulation.clock.runUntil(noticedAt + BOUNDS.drain / 2);
+    expect(ownsUnits(simulation, server)).toEqual(false);
+    expect(simulation.unservedKeys()).toEqual([]);
+    expect(simulation.checker.violations).toEqual([]);
   });
 
   it('survives an outage of the store, and holds for the next leader', () => {
-    const world = new RouterSimulation(4, 6, 5);
-    world.clock.runUntil(SETTLING_TIME);
-    world.daemons.forEach((daemon) => (daemon.storeReachable = false));
-    const { server, noticedAt } = deliverDrainingNotice(world);
-    world.clock.runUntil(noticedAt + 11_000);
-    world.daemons.forEach((daemon) => (daemon.storeReachable = true));
-    world.clock.runUntil(noticedAt + 15_000);
-    expect(world.daemons.every(({ state }) => state.drainingServers.drainingSince(server) !== null)).toEqual(
-      true,
-    );
-    expect(ownsUnits(world, server)).toEqual(false);
-    expect(world.checker.violations).toEqual([]);
+    const simulation = new RouterSimulation(4, 6, 5);
+    simulation.clock.runUntil(SETTLING_TIME);
+    simulation.daemons.forEach((daemon) => (daemon.storeReachable = false));
+    const { server, noticedAt } = deliverDrainingNotice(simulation);
+    simulation.clock.runUntil(noticedAt + 11_000);
+    simulation.daemons.forEach((daemon) => (daemon.storeReachable = true));
+    simulation.clock.runUntil(noticedAt + 15_000);
+    expect(
+      simulation.daemons.every(({ state }) => state.drainingServers.drainingSince(server) !== null),
+    ).toEqual(true);
+    expect(ownsUnits(simulation, server)).toEqual(false);
+    expect(simulation.checker.violations).toEqual([]);
   });
 
   it('is learned by a daemon that restarts', () => {
-    const world = new RouterSimulation(5, 6, 5);
-    world.clock.runUntil(SETTLING_TIME);
-    const { daemon, server, noticedAt } = deliverDrainingNotice(world);
-    world.clock.runUntil(noticedAt + PROPAGATION_TIME);
+    const simulation = new RouterSimulation(5, 6, 5);
+    simulation.clock.runUntil(SETTLING_TIME);
+    const { daemon, server, noticedAt } = deliverDrainingNotice(simulation);
+    simulation.clock.runUntil(noticedAt + PROPAGATION_TIME);
     daemon.alive = false;
-    world.clock.runUntil(noticedAt + 500);
-    world.startDaemon(daemon);
-    world.clock.runUntil(noticedAt + 4_000);
+    simulation.clock.runUntil(noticedAt + 500);
+    simulation.startDaemon(daemon);
+    simulation.clock.runUntil(noticedAt + 4_000);
     const learnedAt = daemon.state.drainingServers.drainingSince(server);
     // Each daemon has its own clock, so the age of the notice is compared.
     const age = daemon.clock.now() - (learnedAt ?? Number.NaN);
-    expect(Math.abs(age - (world.clock.now - noticedAt)) < PROPAGATION_TIME).toEqual(true);
+    expect(Math.abs(age - (simulation.clock.now - noticedAt)) < PROPAGATION_TIME).toEqual(true);
   });
 });
 
--- a/test/router/ownership/test-refused-fence.ts
+++ b/test/router/ownership/test-refused-fence.ts
@@ -5,8 +5,8 @@
 import { RouterSimulation, SERVICE } from '../support/router-simulation.js';
 
 /** Releases every key of a server under a fence, so that the server refuses grants with lower fences. */
-function releaseAllKeys(world: RouterSimulation, fence: number): string {
-  const [server] = world.servers;
+function releaseAllKeys(simulation: RouterSimulation, fence: number): string {
+  const [server] = simulation.servers;
   if (server === undefined) {
     throw new Error('no server');
   }
@@ -30,25 +30,27 @@
 
 describe('a grant that was refused for its fence', () => {
   it('is not retried with that fence while the store accepts no writes', () => {
-    const world = new RouterSimulation(1);
-    world.clock.runUntil(6_000);
-    const table = world.leader()?.state.leadership?.table;
-    world.store.downUntil = world.clock.now + 4_000;
-    releaseAllKeys(world, table?.nextFence ?? 0);
-    world.clock.runUntil(world.clock.now + 3_900);
-    const units = table?.units.filter((unit) => unit.owner === world.servers[0]?.id) ?? [];
+    const simulation = new RouterSimulation(1);
+    simulation.clock.runUntil(6_000);
+    const table = simulation.leader()?.state.leadership?.table;
+    simulation.store.downUntil = simulation.clock.now + 4_000;
+    releaseAllKeys(simulation, table?.nextFence ?? 0);
+    simulation.clock.runUntil(simulation.clock.now + 3_900);
+    const units = table?.units.filter((unit) => unit.owner === simulation.servers[0]?.id) ?? [];
     expect(units.length > 0).toEqual(true);
-    expect(world.servers[0]?.refused.length).toEqual(units.length);
+    expect(simulation.servers[0]?.refused.length).toEqual(units.length);
   });
 
   it('is retried with a new fence once the store accepts writes', () => {
-    const world = new RouterSimulation(1);
-    world.clock.runUntil(6_000);
-    world.store.downUntil = world.clock.now + 2_000;
-    releaseAllKeys(world, (world.leader()?.state.leadership?.table.nextFence ?? 0) - 1);
-    world.clock.runUntil(world.clock.now + 5_000);
-    expect(world.unservedKeys()).toEqual([]);
-    expect(world.checker.violations).toEqual([]);
-    expect(world.leader()?.state.ownershipView.units.some((unit) => unit.service === SERVICE)).toEqual(true);
+    const simulation = new RouterSimulation(1);
+    simulation.clock.runUntil(6_000);
+    simulation.store.downUntil = simulation.clock.now + 2_000;
+    releaseAllKeys(simulation, (simulation.leader()?.state.leadership?.table.nextFence ?? 0) - 1);
+    simulation.clock.runUntil(simulation.clock.now + 5_000);
+    expect(simulation.unservedKeys()).toEqual([]);
+    expect(simulation.checker.violations).toEqual([]);
+    expect(simulation.leader()?.state.ownershipView.units.some((unit) => unit.service === SERVICE)).toEqual(
+      true,
+    );
   });
 });
--- a/test/router/ownership/test-server-incarnations.ts
+++ b/test/router/ownership/test-server-incarnations.ts
@@ -21,60 +21,60 @@
 /** A server that has just started is assigned no keys while other servers can take them. */
 const COLD_AND_UNLISTED = { listedAfter: UNLISTED_TIME, warmupLeft: 8_000 };
 
-function ownerIn(world: RouterSimulation): SimulatedServer {
-  return world.servers.find(({ alive, holdings }) => alive && holdings.size > 0) as SimulatedServer;
+function ownerIn(simulation: RouterSimulation): SimulatedServer {
+  return simulation.servers.find(({ alive, holdings }) => alive && holdings.size > 0) as SimulatedServer;
 }
 
 /**
  * Returns the violations in which two servers hold a key. Others are expected: a grant that reaches the wrong
  * server has the fence that the right one had, which no daemon can prevent.
  */
-function doubleOwnerships(world: RouterSimulation): string[] {
-  return world.checker.violations.filter((violation) => violation.includes(' holds it '));
+function doubleOwnerships(simulation: RouterSimulation): string[] {
+  return simulation.checker.violations.filter((violation) => violation.includes(' holds it '));
 }
 
 describe('keys of an owner that has ended', () => {
   it('have one owner when the next server at its address accepts grants that were meant for it', () => {
     for (let seed = 1; seed <= 20; seed += 1) {
-      const world = new RouterSimulation(seed, 3, 5);
-      world.clock.runUntil(SETTLED + seed * 37);
-      const owner = ownerIn(world);
+      const simulation = new RouterSimulation(seed, 3, 5);
+      simulation.clock.runUntil(SETTLED + seed * 37);
+      const owner = ownerIn(simulation);
       owner.alive = false;
-      const next = world.addServer(owner.address, undefined, COLD_AND_UNLISTED);
+      const next = simulation.addServer(owner.address, undefined, COLD_AND_UNLISTED);
       next.checksInstanceName = false;
-      world.clock.schedule(UNLISTED_TIME, () => world.removeEntry(owner.id));
-      world.clock.runUntil(SETTLED + 12_000);
-      expect(doubleOwnerships(world)).toEqual([]);
-      expect(world.unservedKeys()).toEqual([]);
+      simulation.clock.schedule(UNLISTED_TIME, () => simulation.removeEntry(owner.id));
+      simulation.clock.runUntil(SETTLED + 12_000);
+      expect(doubleOwnerships(simulation)).toEqual([]);
+      expect(simulation.unservedKeys()).toEqual([]);
     }
   });
 
   it('are granted again under a higher fence when the owner restarts under its name within a heartbeat', () => {
     for (let seed = 1; seed <= 20; seed += 1) {
-      const world = new RouterSimulation(seed, 3, 5);
-      world.clock.runUntil(SETTLED + seed * 37);
-      const former = ownerIn(world);
-      const next = world.restartServer(former, 2);
-      world.clock.runUntil(SETTLED + 8_000);
-      expect(world.checker.violations).toEqual([]);
-      expect(world.unservedKeys()).toEqual([]);
-      const owners = new Set(world.leader()?.state.ownershipView.units.map(({ owner }) => owner));
+      const simulation = new RouterSimulation(seed, 3, 5);
+      simulation.clock.runUntil(SETTLED + seed * 37);
+      const former = ownerIn(simulation);
+      const next = simulation.restartServer(former, 2);
+      simulation.clock.runUntil(SETTLED + 8_000);
+      expect(simulation.checker.violations).toEqual([]);
+      expect(simulation.unservedKeys()).toEqual([]);
+      const owners = new Set(simulation.leader()?.state.ownershipView.units.map(({ owner }) => owner));
       expect(owners.has(former.id)).toEqual(false);
       expect(next.holdings.size === 0 || owners.has(next.id)).toEqual(true);
     }
   });
 
   it('are granted again although the clock of the owner was set back between its incarnations', () => {
-    const world = new RouterSimulation(7, 3, 5);
-    world.clock.runUntil(SETTLED);
-    const former = ownerIn(world);
-    const later = world.restartServer(former, 900);
-    world.clock.runUntil(SETTLED + 6_000);
-    const last = world.restartServer(later, 100);
-    world.clock.runUntil(SETTLED + 14_000);
-    expect(world.unservedKeys()).toEqual([]);
-    expect(world.checker.violations).toEqual([]);
-    const known = world.daemons.map(
+    const simulation = new RouterSimulation(7, 3, 5);
+    simulation.clock.runUntil(SETTLED);
+    const former = ownerIn(simulation);
+    const later = simulation.restartServer(former, 900);
+    simulation.clock.runUntil(SETTLED + 6_000);
+    const last = simulation.restartServer(later, 100);
+    simulation.clock.runUntil(SETTLED + 14_000);
+    expect(simulation.unservedKeys()).toEqual([]);
+    expect(simulation.checker.violations).toEqual([]);
+    const known = simulation.daemons.map(
       ({ state }) => state.servers.has(last.id) && !state.servers.has(later.id),
     );
     expect(known).toEqual(known.map(() => true));
--- a/test/router/ownership/test-suspension.ts
+++ b/test/router/ownership/test-suspension.ts
@@ -25,42 +25,42 @@
 const INDEPENDENT_BOOT_CLOCK = (now: number): number => Math.floor((now * 1.7) / 10) * 10;
 
 /** Requests hot keys that change, so that the plan keeps moving units. */
-function addLoad(world: RouterSimulation): void {
+function addLoad(simulation: RouterSimulation): void {
   const sendRequests = (): void => {
-    const hot = 7 + 512 * ((Math.floor(world.clock.now / 2_000) * 31) % 128);
+    const hot = 7 + 512 * ((Math.floor(simulation.clock.now / 2_000) * 31) % 128);
     for (let count = 0; count < 6; count += 1) {
-      const cold = CHECKED_KEYS[world.random.integerBelow(CHECKED_KEYS.length)] as number;
-      world.countKeyRequests([world.random.fraction() < 0.6 ? hot : cold]);
+      const cold = CHECKED_KEYS[simulation.random.integerBelow(CHECKED_KEYS.length)] as number;
+      simulation.countKeyRequests([simulation.random.fraction() < 0.6 ? hot : cold]);
     }
-    world.clock.schedule(50, sendRequests);
+    simulation.clock.schedule(50, sendRequests);
   };
-  world.clock.schedule(1_000, sendRequests);
+  simulation.clock.schedule(1_000, sendRequests);
 }
 
 /**
  * Suspends the leader while some servers are cut off: its successor waits for their leases to expire, and
  * moves their keys.
  */
-function suspendLeader(world: RouterSimulation): void {
-  const leader = world.leader();
+function suspendLeader(simulation: RouterSimulation): void {
+  const leader = simulation.leader();
   if (leader !== undefined) {
-    const length = 6_000 + world.random.fraction() * 2_500;
-    world.suspend(leader, length);
-    const cutOff = world.servers.filter((_, index) => index % 3 === 0);
+    const length = 6_000 + simulation.random.fraction() * 2_500;
+    simulation.suspend(leader, length);
+    const cutOff = simulation.servers.filter((_, index) => index % 3 === 0);
     cutOff.forEach((server) => (server.reachable = false));
-    world.clock.schedule(length - 1, () => cutOff.forEach((server) => (server.reachable = true)));
+    simulation.clock.schedule(length - 1, () => cutOff.forEach((server) => (server.reachable = true)));
   }
 }
 
 function simulate(seed: number, bootClock?: (now: number) => number): RouterSimulation {
-  const world = new RouterSimulation(seed);
-  world.bootClock = bootClock ?? world.bootClock;
-  addLoad(world);
+  const simulation = new RouterSimulation(seed);
+  simulation.bootClock = bootClock ?? simulation.bootClock;
+  addLoad(simulation);
   for (let at = SETTLED; at < SIMULATED_TIME - 9_000; at += 9_000) {
-    world.clock.schedule(at + world.random.fraction() * 2_000, () => suspendLeader(world));
+    simulation.clock.schedule(at + simulation.random.fraction() * 2_000, () => suspendLeader(simulation));
   }
-  world.clock.runUntil(SIMULATED_TIME);
-  return world;
+  simulation.clock.runUntil(SIMULATED_TIME);
+  return simulation;
 }
 
 function violations(bootClock?: (now: number) => number): string[] {
@@ -70,11 +70,11 @@
 /**
  * Returns a simulation in which a daemon has a request in progress at a server when its machine is suspended.
  */
-function worldWithRequest(): { world: RouterSimulation; daemon: SimulatedDaemon } {
-  const world = new RouterSimulation(1);
-  world.clock.runUntil(SETTLED);
-  const daemon = world.daemons.find(({ state }) => state.leadership === null) as SimulatedDaemon;
-  world.deliver(daemon, {
+function worldWithRequest(): { simulation: RouterSimulation; daemon: SimulatedDaemon } {
+  const simulation = new RouterSimulation(1);
+  simulation.clock.runUntil(SETTLED);
+  const daemon = simulation.daemons.find(({ state }) => state.leadership === null) as SimulatedDaemon;
+  simulation.deliver(daemon, {
     kind: 'requestArrived',
     requestId: 1,
     attemptId: 'a-1',
@@ -86,7 +86,7 @@
     fingerprint: { head: '', value: '' },
     readDelay: 0,
   });
-  return { world, daemon };
+  return { simulation, daemon };
 }
 
 describe('a machine that was suspended', () => {
@@ -99,10 +99,10 @@
   });
 
   it('ends requests whose callers left during the suspension', () => {
-    const { world, daemon } = worldWithRequest();
+    const { simulation, daemon } = worldWithRequest();
     expect(daemon.state.requests.size).toEqual(1);
-    world.suspend(daemon, 5_000);
-    world.clock.runUntil(SETTLED + 5_050);
+    simulation.suspend(daemon, 5_000);
+    simulation.clock.runUntil(SETTLED + 5_050);
     expect(daemon.state.requests.size).toEqual(0);
   });
 });
--- a/test/router/quarantine/test-copies-at-one-server.ts
+++ b/test/router/quarantine/test-copies-at-one-server.ts
@@ -21,16 +21,16 @@
 
 describe('a request that crashes servers while several copies of it are in flight', () => {
   it('is sent at most three more times once three copies have been lost for the time that daemons need to agree', () => {
-    const world = new RouterSimulation(11, 6, 8);
-    const traffic = new RequestTraffic(world, 0);
+    const simulation = new RouterSimulation(11, 6, 8);
+    const traffic = new RequestTraffic(simulation, 0);
     traffic.crashingRequests.add(NAME);
     const ask = (daemon: SimulatedDaemon): void => {
       traffic.sendRequest(daemon, { name: NAME, route: SERVICE, key: KEY });
-      world.clock.schedule(REQUEST_INTERVAL, () => ask(daemon));
+      simulation.clock.schedule(REQUEST_INTERVAL, () => ask(daemon));
     };
-    world.clock.runUntil(SETTLING_TIME);
-    world.daemons.forEach((daemon, index) => world.clock.schedule(index, () => ask(daemon)));
-    world.clock.runUntil(SETTLING_TIME + RUN_TIME);
+    simulation.clock.runUntil(SETTLING_TIME);
+    simulation.daemons.forEach((daemon, index) => simulation.clock.schedule(index, () => ask(daemon)));
+    simulation.clock.runUntil(SETTLING_TIME + RUN_TIME);
     const lost = traffic.lostCopies.map(({ at }) => at).sort((left, right) => left - right);
     const third = lost[COPIES - 1] ?? Number.POSITIVE_INFINITY;
     const later = traffic.deliveries.filter(({ at }) => at > third + CONTACT_TIME);
--- a/test/router/quarantine/test-hot-request.ts
+++ b/test/router/quarantine/test-hot-request.ts
@@ -18,23 +18,23 @@
 
 /** Returns the share of a hot request's copies that are answered while its owners crash for unrelated reasons. */
 function simulateCrashes(seed: number, daemons: number): number {
-  const world = new RouterSimulation(seed, daemons, 8);
-  const traffic = new RequestTraffic(world, 0);
+  const simulation = new RouterSimulation(seed, daemons, 8);
+  const traffic = new RequestTraffic(simulation, 0);
   const ask = (daemon: SimulatedDaemon): void => {
     traffic.sendRequest(daemon, HOT);
     traffic.sendRequest(daemon, COLD);
-    world.clock.schedule(REQUEST_INTERVAL * (daemons / 6), () => ask(daemon));
+    simulation.clock.schedule(REQUEST_INTERVAL * (daemons / 6), () => ask(daemon));
   };
-  world.clock.runUntil(SETTLING_TIME);
-  world.daemons.forEach((daemon, index) => world.clock.schedule(index * 11, () => ask(daemon)));
-  world.clock.runUntil(SETTLING_TIME + 1_000);
+  simulation.clock.runUntil(SETTLING_TIME);
+  simulation.daemons.forEach((daemon, index) => simulation.clock.schedule(index * 11, () => ask(daemon)));
+  simulation.clock.runUntil(SETTLING_TIME + 1_000);
   const before = traffic.responses.length;
   for (let crash = 0; crash < CRASHES; crash += 1) {
-    const owner = world.servers.find((server) => server.holds(HOT.key));
+    const owner = simulation.servers.find((server) => server.holds(HOT.key));
     if (owner !== undefined) {
       traffic.crash(owner);
     }
-    world.clock.runUntil(world.clock.now + CRASH_INTERVAL);
+    simulation.clock.runUntil(simulation.clock.now + CRASH_INTERVAL);
   }
   const told = traffic.responses.slice(before);
   const ofHot = told.filter(({ name }) => name === HOT.name);
--- a/test/router/quarantine/test-quarantine-propagation.ts
+++ b/test/router/quarantine/test-quarantine-propagation.ts
@@ -13,55 +13,62 @@
 const PROPAGATION_TIME = 100;
 
 /** Returns a simulation in which three servers have crashed under a request, each sent by another daemon. */
-function simulateThreeCrashes(): { world: RouterSimulation; traffic: RequestTraffic } {
-  const world = new RouterSimulation(5, 6, 6);
-  const traffic = new RequestTraffic(world, 8);
+function simulateThreeCrashes(): { simulation: RouterSimulation; traffic: RequestTraffic } {
+  const simulation = new RouterSimulation(5, 6, 6);
+  const traffic = new RequestTraffic(simulation, 8);
   traffic.crashingRequests.add(REQUEST.name);
-  world.clock.runUntil(SETTLING_TIME);
-  for (const daemon of world.daemons.slice(0, 3)) {
+  simulation.clock.runUntil(SETTLING_TIME);
+  for (const daemon of simulation.daemons.slice(0, 3)) {
     traffic.sendRequest(daemon, REQUEST);
-    world.clock.runUntil(world.clock.now + CRASH_INTERVAL);
+    simulation.clock.runUntil(simulation.clock.now + CRASH_INTERVAL);
   }
-  return { world, traffic };
+  return { simulation, traffic };
 }
 
-function daemonsWithQuarantine(world: RouterSimulation): SimulatedDaemon[] {
-  return world.daemons.filter(({ state }) => state.crashTable.isQuarantined(fingerprintOf(REQUEST.name)));
+function daemonsWithQuarantine(simulation: RouterSimulation): SimulatedDaemon[] {
+  return simulation.daemons.filter(({ state }) =>
+    state.crashTable.isQuarantined(fingerprintOf(REQUEST.name)),
+  );
 }
 
 describe('a quarantine', () => {
   it('is known to every daemon, and refuses a request at once, with its reason and without sending it', () => {
-    const { world, traffic } = simulateThreeCrashes();
-    expect(daemonsWithQuarantine(world)).toEqual(world.daemons);
+    const { simulation, traffic } = simulateThreeCrashes();
+    expect(daemonsWithQuarantine(simulation)).toEqual(simulation.daemons);
     const before = traffic.deliveries.length;
-    traffic.sendRequest(world.daemons[5] as SimulatedDaemon, REQUEST);
+    traffic.sendRequest(simulation.daemons[5] as SimulatedDaemon, REQUEST);
     const [told] = traffic.responses.slice(-1);
-    expect(told).toEqual({ name: 'deadly', status: 503, reason: QUARANTINE_REASON, at: world.clock.now });
+    expect(told).toEqual({
+      name: 'deadly',
+      status: 503,
+      reason: QUARANTINE_REASON,
+      at: simulation.clock.now,
+    });
     expect(traffic.deliveries.length).toEqual(before);
   });
 
   it('is lifted by an operator on every daemon, and in the store', () => {
-    const { world, traffic } = simulateThreeCrashes();
+    const { simulation, traffic } = simulateThreeCrashes();
     traffic.crashingRequests.clear();
     const fingerprint = fingerprintOf(REQUEST.name).value;
-    world.deliver(world.daemons[2] as SimulatedDaemon, { kind: 'quarantineLifted', fingerprint });
-    world.clock.runUntil(world.clock.now + PROPAGATION_TIME);
-    expect(daemonsWithQuarantine(world)).toEqual([]);
-    world.clock.runUntil(world.clock.now + 1_000);
-    world.daemons.forEach((daemon) => (daemon.alive = false));
-    world.daemons.forEach((daemon) => world.startDaemon(daemon));
-    world.clock.runUntil(world.clock.now + 10_000);
-    expect(daemonsWithQuarantine(world)).toEqual([]);
+    simulation.deliver(simulation.daemons[2] as SimulatedDaemon, { kind: 'quarantineLifted', fingerprint });
+    simulation.clock.runUntil(simulation.clock.now + PROPAGATION_TIME);
+    expect(daemonsWithQuarantine(simulation)).toEqual([]);
+    simulation.clock.runUntil(simulation.clock.now + 1_000);
+    simulation.daemons.forEach((daemon) => (daemon.alive = false));
+    simulation.daemons.forEach((daemon) => simulation.startDaemon(daemon));
+    simulation.clock.runUntil(simulation.clock.now + 10_000);
+    expect(daemonsWithQuarantine(simulation)).toEqual([]);
   });
 
   it('is learned by a daemon that restarts', () => {
-    const { world } = simulateThreeCrashes();
-    const daemon = world.daemons.find(({ state }) => state.leadership === null) as SimulatedDaemon;
+    const { simulation } = simulateThreeCrashes();
+    const daemon = simulation.daemons.find(({ state }) => state.leadership === null) as SimulatedDaemon;
     daemon.alive = false;
-    world.clock.runUntil(world.clock.now + 500);
-    world.startDaemon(daemon);
-    world.clock.runUntil(world.clock.now + 1_000);
-    expect(daemonsWithQuarantine(world)).toEqual(world.daemons);
+    simulation.clock.runUntil(simulation.clock.now + 500);
+    simulation.startDaemon(daemon);
+    simulation.clock.runUntil(simulation.clock.now + 1_000);
+    expect(daemonsWithQuarantine(simulation)).toEqual(simulation.daemons);
   });
 });
 
--- a/test/router/quarantine/test-query-of-death.ts
+++ b/test/router/quarantine/test-query-of-death.ts
@@ -30,30 +30,37 @@
 
 const SEEDS = [1, 2, 3, 4];
 
-function startOrdinaryTraffic(world: RouterSimulation, traffic: RequestTraffic): void {
+function startOrdinaryTraffic(simulation: RouterSimulation, traffic: RequestTraffic): void {
   const next = (): void => {
-    const index = world.random.integerBelow(10_000);
-    const route = world.random.fraction() < 0.5 ? KEYED : BALANCED_SERVICE;
-    const daemon = world.daemons[world.random.integerBelow(world.daemons.length)];
+    const index = simulation.random.integerBelow(10_000);
+    const route = simulation.random.fraction() < 0.5 ? KEYED : BALANCED_SERVICE;
+    const daemon = simulation.daemons[simulation.random.integerBelow(simulation.daemons.length)];
     if (daemon !== undefined) {
       traffic.sendRequest(daemon, { name: `r${index}`, route, key: 7 + 512 * (index % 128) });
     }
-    world.clock.schedule(20, next);
+    simulation.clock.schedule(20, next);
   };
-  world.clock.schedule(SETTLING_TIME, next);
+  simulation.clock.schedule(SETTLING_TIME, next);
 }
 
 /** Starts a caller that repeats the same request, each time at a random daemon. */
-function startDeadlyCaller(world: RouterSimulation, traffic: RequestTraffic, request: NamedRequest): void {
+function startDeadlyCaller(
+  simulation: RouterSimulation,
+  traffic: RequestTraffic,
+  request: NamedRequest,
+): void {
   traffic.crashingRequests.add(request.name);
   const next = (): void => {
-    const daemon = world.daemons[world.random.integerBelow(world.daemons.length)];
+    const daemon = simulation.daemons[simulation.random.integerBelow(simulation.daemons.length)];
     if (daemon !== undefined) {
       traffic.sendRequest(daemon, request);
     }
-    world.clock.schedule(MIN_REPEAT_INTERVAL + world.random.fraction() * REPEAT_INTERVAL_SPREAD, next);
+    simulation.clock.schedule(
+      MIN_REPEAT_INTERVAL + simulation.random.fraction() * REPEAT_INTERVAL_SPREAD,
+      next,
+    );
   };
-  world.clock.schedule(SETTLING_TIME + 1_000, next);
+  simulation.clock.schedule(SETTLING_TIME + 1_000, next);
 }
 
 /** Returns how often a request was sent later than the contact time after enough servers had crashed under it. */
@@ -67,11 +74,11 @@
 }
 
 function simulate(seed: number, request: NamedRequest): RequestTraffic {
-  const world = new RouterSimulation(seed, 5, 8);
-  const traffic = new RequestTraffic(world, 8);
-  startOrdinaryTraffic(world, traffic);
-  startDeadlyCaller(world, traffic, request);
-  world.clock.runUntil(RUN_TIME);
+  const simulation = new RouterSimulation(seed, 5, 8);
+  const traffic = new RequestTraffic(simulation, 8);
+  startOrdinaryTraffic(simulation, traffic);
+  startDeadlyCaller(simulation, traffic, request);
+  simulation.clock.runUntil(RUN_TIME);
   return traffic;
 }
 
