--- a/test/router/limits/test-limit-sharing.ts
+++ b/test/router/limits/test-limit-sharing.ts
@@ -23,7 +23,7 @@
 function simulateAllLimited(daemons: number, asked: number, limit: number, isPlain: boolean): LimitUse {
   const demand = SERVERS * limit * DEMAND_FACTOR;
   const plainServers = isPlain ? SERVERS : 0;
-  const day = new LimitSimulation({
+  const limitSimulation = new LimitSimulation({
     seed: 1,
     daemons,
     servers: SERVERS,
@@ -32,17 +32,18 @@
     requestedDaemons: asked,
     usesBalancedService: isPlain,
   });
-  const servers = day.simulation.servers.slice(plainServers === 0 ? 0 : SERVERS);
-  servers.forEach((server) => day.limit(server, limit));
+  const servers = limitSimulation.simulation.servers.slice(plainServers === 0 ? 0 : SERVERS);
+  servers.forEach((server) => limitSimulation.limit(server, limit));
   const usedSince = (from: number): number =>
-    servers.reduce((sum, server) => sum + day.deliveriesTo(server, from).length, 0) / (SERVERS * limit);
-  const begin = day.now;
-  day.run(SECOND);
+    servers.reduce((sum, server) => sum + limitSimulation.deliveriesTo(server, from).length, 0) /
+    (SERVERS * limit);
+  const begin = limitSimulation.now;
+  limitSimulation.run(SECOND);
   const firstSecond = usedSince(begin);
-  day.run(SECOND);
-  const from = day.now;
-  day.run(MEASURED_TIME);
-  const mostInWindow = Math.max(...servers.map((server) => day.counted(server)));
+  limitSimulation.run(SECOND);
+  const from = limitSimulation.now;
+  limitSimulation.run(MEASURED_TIME);
+  const mostInWindow = Math.max(...servers.map((server) => limitSimulation.counted(server)));
   return { firstSecond, fromThirdSecond: usedSince(from) / (MEASURED_TIME / SECOND), mostInWindow };
 }
 
@@ -72,12 +73,14 @@
   });
 
   it('delays no request that it cannot serve in time: the request is rejected at once with a retry time', () => {
-    const day = new LimitSimulation({ seed: 2, daemons: 11, servers: SERVERS, demand: 120 });
-    day.simulation.servers.forEach((server: SimulatedServer) => day.limit(server, 2));
-    day.run(2_000);
-    const before = day.traffic.responseTimes.length;
-    day.run(4_000);
-    const refused = day.traffic.responseTimes.slice(before).filter(({ status }) => status === 503);
+    const limitSimulation = new LimitSimulation({ seed: 2, daemons: 11, servers: SERVERS, demand: 120 });
+    limitSimulation.simulation.servers.forEach((server: SimulatedServer) => limitSimulation.limit(server, 2));
+    limitSimulation.run(2_000);
+    const before = limitSimulation.traffic.responseTimes.length;
+    limitSimulation.run(4_000);
+    const refused = limitSimulation.traffic.responseTimes
+      .slice(before)
+      .filter(({ status }) => status === 503);
     expect(refused.length > 100).toEqual(true);
     const mean = refused.reduce((sum, { waited }) => sum + waited, 0) / refused.length;
     expect(mean < 10).toEqual(true);
--- a/test/router/limits/test-limit-world.ts
+++ b/test/router/limits/test-limit-world.ts
@@ -13,14 +13,14 @@
 describe('key owners that announce a rate limit', () => {
   it('receive no more than the limit from daemons that know it', () => {
     for (let seed = 1; seed <= 3; seed += 1) {
-      const day = new LimitSimulation({ seed, daemons: 11, servers: 14, demand: 150 });
-      const [first, second] = day.simulation.servers as [SimulatedServer, SimulatedServer];
-      day.limit(first, 3);
-      day.limit(second, 3.5);
-      day.run(LIMITED_TIME);
-      expect(day.counted(first) <= maxRequestsInWindow(3)).toEqual(true);
-      expect(day.counted(second) <= maxRequestsInWindow(3.5)).toEqual(true);
-      expect(day.simulation.checker.violations).toEqual([]);
+      const limitSimulation = new LimitSimulation({ seed, daemons: 11, servers: 14, demand: 150 });
+      const [first, second] = limitSimulation.simulation.servers as [SimulatedServer, SimulatedServer];
+      limitSimulation.limit(first, 3);
+      limitSimulation.limit(second, 3.5);
+      limitSimulation.run(LIMITED_TIME);
+      expect(limitSimulation.counted(first) <= maxRequestsInWindow(3)).toEqual(true);
+      expect(limitSimulation.counted(second) <= maxRequestsInWindow(3.5)).toEqual(true);
+      expect(limitSimulation.simulation.checker.violations).toEqual([]);
     }
   });
 });
@@ -28,7 +28,7 @@
 describe('servers without keys that announce a rate limit', () => {
   it('receive no more than the limit from daemons that know it', () => {
     for (let seed = 1; seed <= 3; seed += 1) {
-      const day = new LimitSimulation({
+      const limitSimulation = new LimitSimulation({
         seed,
         daemons: 11,
         servers: 3,
@@ -36,10 +36,12 @@
         demand: 90,
         usesBalancedService: true,
       });
-      const limited = day.simulation.servers.slice(3, 5) as [SimulatedServer, SimulatedServer];
-      limited.forEach((server) => day.limit(server, 3));
-      day.run(LIMITED_TIME);
-      limited.forEach((server) => expect(day.counted(server) <= maxRequestsInWindow(3)).toEqual(true));
+      const limited = limitSimulation.simulation.servers.slice(3, 5) as [SimulatedServer, SimulatedServer];
+      limited.forEach((server) => limitSimulation.limit(server, 3));
+      limitSimulation.run(LIMITED_TIME);
+      limited.forEach((server) =>
+        expect(limitSimulation.counted(server) <= maxRequestsInWindow(3)).toEqual(true),
+      );
     }
   });
 });
--- a/test/router/limits/test-limited-owners.ts
+++ b/test/router/limits/test-limited-owners.ts
@@ -14,8 +14,8 @@
 const MOVE_TIME = 1_500;
 
 /** Returns the number of units granted to a server since a time. */
-function unitsGrantedTo(day: LimitSimulation, server: SimulatedServer, from: number): number {
-  return day.simulation.events.filter(
+function unitsGrantedTo(limitSimulation: LimitSimulation, server: SimulatedServer, from: number): number {
+  return limitSimulation.simulation.events.filter(
     (line) =>
       line.includes(' unit_granted ') &&
       line.includes(`"owner":"${server.id}"`) &&
@@ -26,28 +26,28 @@
 describe('keys of an owner that announces a rate limit', () => {
   it('move to owners that have capacity', () => {
     for (let seed = 1; seed <= 3; seed += 1) {
-      const day = new LimitSimulation({ ...DEFAULTS, seed });
-      const [first, second] = day.simulation.servers as [SimulatedServer, SimulatedServer];
-      day.limit(first, 3);
-      day.limit(second, 3.5);
-      day.run(MOVE_TIME);
-      const from = day.now;
-      day.run(LIMITED_TIME);
-      expect(day.answeredShare(from) > 0.97).toEqual(true);
-      expect(day.counted(first) <= maxRequestsInWindow(3)).toEqual(true);
-      expect(day.simulation.checker.violations).toEqual([]);
+      const limitSimulation = new LimitSimulation({ ...DEFAULTS, seed });
+      const [first, second] = limitSimulation.simulation.servers as [SimulatedServer, SimulatedServer];
+      limitSimulation.limit(first, 3);
+      limitSimulation.limit(second, 3.5);
+      limitSimulation.run(MOVE_TIME);
+      const from = limitSimulation.now;
+      limitSimulation.run(LIMITED_TIME);
+      expect(limitSimulation.answeredShare(from) > 0.97).toEqual(true);
+      expect(limitSimulation.counted(first) <= maxRequestsInWindow(3)).toEqual(true);
+      expect(limitSimulation.simulation.checker.violations).toEqual([]);
     }
   });
 
   it('all move away if the limit is zero', () => {
-    const day = new LimitSimulation({ ...DEFAULTS, seed: 4 });
-    const [server] = day.simulation.servers as [SimulatedServer];
-    day.limit(server, 0);
-    day.run(MOVE_TIME);
-    const from = day.now;
-    day.run(LIMITED_TIME);
-    expect(day.answeredShare(from) > 0.98).toEqual(true);
-    const owned = day.simulation
+    const limitSimulation = new LimitSimulation({ ...DEFAULTS, seed: 4 });
+    const [server] = limitSimulation.simulation.servers as [SimulatedServer];
+    limitSimulation.limit(server, 0);
+    limitSimulation.run(MOVE_TIME);
+    const from = limitSimulation.now;
+    limitSimulation.run(LIMITED_TIME);
+    expect(limitSimulation.answeredShare(from) > 0.98).toEqual(true);
+    const owned = limitSimulation.simulation
       .leader()
       ?.state.ownershipView.units.filter(({ owner }) => owner === server.id);
     expect(owned).toEqual([]);
@@ -55,26 +55,29 @@
 
   it('move even if the demand for a single key exceeds the limit', () => {
     const keys = [7];
-    const day = new LimitSimulation({ seed: 5, daemons: 11, servers: 6, demand: 12, keys });
-    const owner = day.simulation.leader()?.state.ownershipView.unitOf('racks', 7)?.owner;
-    day.limit(day.simulation.servers.find(({ id }) => id === owner) as SimulatedServer, 3);
-    day.run(MOVE_TIME);
-    const from = day.now;
-    day.run(LIMITED_TIME);
-    expect(day.answeredShare(from) > 0.98).toEqual(true);
+    const limitSimulation = new LimitSimulation({ seed: 5, daemons: 11, servers: 6, demand: 12, keys });
+    const owner = limitSimulation.simulation.leader()?.state.ownershipView.unitOf('racks', 7)?.owner;
+    limitSimulation.limit(
+      limitSimulation.simulation.servers.find(({ id }) => id === owner) as SimulatedServer,
+      3,
+    );
+    limitSimulation.run(MOVE_TIME);
+    const from = limitSimulation.now;
+    limitSimulation.run(LIMITED_TIME);
+    expect(limitSimulation.answeredShare(from) > 0.98).toEqual(true);
   });
 
   it('do not return each time that the limit ends for a second', () => {
-    const day = new LimitSimulation({ ...DEFAULTS, seed: 6 });
-    const [server] = day.simulation.servers as [SimulatedServer];
-    day.limit(server, 3);
-    day.run(MOVE_TIME + 1_000);
-    const from = day.now;
+    const limitSimulation = new LimitSimulation({ ...DEFAULTS, seed: 6 });
+    const [server] = limitSimulation.simulation.servers as [SimulatedServer];
+    limitSimulation.limit(server, 3);
+    limitSimulation.run(MOVE_TIME + 1_000);
+    const from = limitSimulation.now;
     for (let round = 0; round < 10; round += 1) {
-      day.limit(server, round % 2 === 0 ? null : 3);
-      day.run(1_000);
+      limitSimulation.limit(server, round % 2 === 0 ? null : 3);
+      limitSimulation.run(1_000);
     }
-    expect(unitsGrantedTo(day, server, from) <= 2).toEqual(true);
-    expect(day.answeredShare(from) > 0.97).toEqual(true);
+    expect(unitsGrantedTo(limitSimulation, server, from) <= 2).toEqual(true);
+    expect(limitSimulation.answeredShare(from) > 0.97).toEqual(true);
   });
 });
