--- a/test/router/quarantine/test-quarantine-properties.ts
+++ b/test/router/quarantine/test-quarantine-properties.ts
@@ -17,52 +17,59 @@
 
 /** A running simulation, and when each daemon and the store last had a fault. */
 interface Simulation {
-  readonly world: RouterSimulation;
+  readonly routerSimulation: RouterSimulation;
   readonly traffic: RequestTraffic;
   readonly lastFaultAt: Map<SimulatedDaemon, number>;
   lastStoreFaultAt: number;
 }
 
-function randomDaemon({ world }: Simulation): SimulatedDaemon {
-  return world.daemons[world.random.integerBelow(world.daemons.length)] as SimulatedDaemon;
+function randomDaemon({ routerSimulation }: Simulation): SimulatedDaemon {
+  return routerSimulation.daemons[
+    routerSimulation.random.integerBelow(routerSimulation.daemons.length)
+  ] as SimulatedDaemon;
 }
 
 /** Runs an action at random times, with the given mean interval. */
 function repeatAtRandom(
-  { world }: Simulation,
+  { routerSimulation }: Simulation,
   interval: number,
   from: number,
   until: number,
   action: () => void,
 ): void {
   const next = (): void => {
-    if (world.clock.now < until) {
+    if (routerSimulation.clock.now < until) {
       action();
-      world.clock.schedule(world.random.fraction() * 2 * interval, next);
+      routerSimulation.clock.schedule(routerSimulation.random.fraction() * 2 * interval, next);
     }
   };
-  world.clock.schedule(from + world.random.fraction() * interval, next);
+  routerSimulation.clock.schedule(from + routerSimulation.random.fraction() * interval, next);
 }
 
 function createSimulation(seed: number): Simulation {
-  const world = new RouterSimulation(seed, 6, 8);
-  const traffic = new RequestTraffic(world, 8);
-  const simulation = { world, traffic, lastFaultAt: new Map<SimulatedDaemon, number>(), lastStoreFaultAt: 0 };
+  const routerSimulation = new RouterSimulation(seed, 6, 8);
+  const traffic = new RequestTraffic(routerSimulation, 8);
+  const simulation = {
+    routerSimulation,
+    traffic,
+    lastFaultAt: new Map<SimulatedDaemon, number>(),
+    lastStoreFaultAt: 0,
+  };
   repeatAtRandom(simulation, 25, SETTLING_TIME, RUN_TIME, () => {
-    const index = world.random.integerBelow(10_000);
-    const route = world.random.fraction() < 0.5 ? KEYED : BALANCED_SERVICE;
+    const index = routerSimulation.random.integerBelow(10_000);
+    const route = routerSimulation.random.fraction() < 0.5 ? KEYED : BALANCED_SERVICE;
     traffic.sendRequest(randomDaemon(simulation), { name: `r${index}`, route, key: 7 + 512 * (index % 128) });
   });
   return simulation;
 }
 
 function killAndRestart(simulation: Simulation, daemons: readonly SimulatedDaemon[]): void {
-  const { world, lastFaultAt } = simulation;
+  const { routerSimulation, lastFaultAt } = simulation;
   daemons.forEach((daemon) => (daemon.alive = false));
-  world.clock.schedule(RESTART_DELAY, () => {
+  routerSimulation.clock.schedule(RESTART_DELAY, () => {
     daemons.forEach((daemon) => {
-      world.startDaemon(daemon);
-      lastFaultAt.set(daemon, world.clock.now);
+      routerSimulation.startDaemon(daemon);
+      lastFaultAt.set(daemon, routerSimulation.clock.now);
     });
   });
 }
@@ -71,25 +78,25 @@
 const DAEMON_FAULTS: Readonly<Record<string, (simulation: Simulation) => void>> = {
   none: () => undefined,
   killLeader: (simulation) => {
-    const leader = simulation.world.leader();
+    const leader = simulation.routerSimulation.leader();
     killAndRestart(simulation, leader === undefined ? [] : [leader]);
   },
   killSome: (simulation) =>
     killAndRestart(
       simulation,
-      simulation.world.daemons.filter(() => simulation.world.random.fraction() < 0.4),
+      simulation.routerSimulation.daemons.filter(() => simulation.routerSimulation.random.fraction() < 0.4),
     ),
   cutOff: (simulation) => {
     const daemon = randomDaemon(simulation);
     daemon.peersReachable = false;
-    simulation.world.clock.schedule(2_500, () => {
+    simulation.routerSimulation.clock.schedule(2_500, () => {
       daemon.peersReachable = true;
-      simulation.lastFaultAt.set(daemon, simulation.world.clock.now);
+      simulation.lastFaultAt.set(daemon, simulation.routerSimulation.clock.now);
     });
   },
   storeDown: (simulation) => {
-    simulation.world.store.downUntil = simulation.world.clock.now + 4_000;
-    simulation.lastStoreFaultAt = simulation.world.store.downUntil;
+    simulation.routerSimulation.store.downUntil = simulation.routerSimulation.clock.now + 4_000;
+    simulation.lastStoreFaultAt = simulation.routerSimulation.store.downUntil;
   },
 };
 
@@ -151,7 +158,7 @@
           1_500,
         );
         repeatAtRandom(simulation, 5_000, SETTLING_TIME, FAULTS_UNTIL, () => fault(simulation));
-        simulation.world.clock.runUntil(RUN_TIME);
+        simulation.routerSimulation.clock.runUntil(RUN_TIME);
         const late = [...simulation.traffic.crashingRequests].map((deadly) =>
           countLateSends(simulation, deadly),
         );
@@ -166,10 +173,10 @@
     for (const seed of SEEDS) {
       const simulation = createSimulation(seed);
       startDeadlyCaller(simulation, { name: 'deadly', route: BALANCED_SERVICE, key: 7 }, 3_000);
-      simulation.world.clock.runUntil(FAULTS_UNTIL);
+      simulation.routerSimulation.clock.runUntil(FAULTS_UNTIL);
       const before = simulation.traffic.crashes.length;
-      killAndRestart(simulation, simulation.world.daemons);
-      simulation.world.clock.runUntil(RUN_TIME);
+      killAndRestart(simulation, simulation.routerSimulation.daemons);
+      simulation.routerSimulation.clock.runUntil(RUN_TIME);
       expect(before >= CRASHES).toEqual(true);
       const later = simulation.traffic.crashes.filter(
         ({ at }) => at > FAULTS_UNTIL + RESTART_DELAY + CONTACT_TIME,
@@ -181,26 +188,28 @@
 
 /** Ways in which servers end or seem to end with no request at fault, by name. */
 const SERVER_FAULTS: Readonly<Record<string, (simulation: Simulation) => void>> = {
-  crashes: ({ world, traffic }) => {
-    const alive = world.servers.filter((server) => server.alive);
-    traffic.crash(alive[world.random.integerBelow(alive.length)] as (typeof alive)[number]);
+  crashes: ({ routerSimulation, traffic }) => {
+    const alive = routerSimulation.servers.filter((server) => server.alive);
+    traffic.crash(alive[routerSimulation.random.integerBelow(alive.length)] as (typeof alive)[number]);
   },
-  'a share of all servers at once': ({ world, traffic }) => {
-    const alive = world.servers.filter((server) => server.alive);
-    alive.filter(() => world.random.fraction() < 0.4).forEach((server) => traffic.crash(server));
+  'a share of all servers at once': ({ routerSimulation, traffic }) => {
+    const alive = routerSimulation.servers.filter((server) => server.alive);
+    alive.filter(() => routerSimulation.random.fraction() < 0.4).forEach((server) => traffic.crash(server));
   },
-  'connection resets': ({ world, traffic }) => {
-    const alive = world.servers.filter((server) => server.alive);
-    alive.filter(() => world.random.fraction() < 0.5).forEach((server) => traffic.resetConnections(server));
+  'connection resets': ({ routerSimulation, traffic }) => {
+    const alive = routerSimulation.servers.filter((server) => server.alive);
+    alive
+      .filter(() => routerSimulation.random.fraction() < 0.5)
+      .forEach((server) => traffic.resetConnections(server));
   },
-  'draining servers': ({ world, traffic }) => {
-    const alive = world.servers.filter((server) => server.alive);
-    const draining = alive[world.random.integerBelow(alive.length)] as (typeof alive)[number];
-    world.drain(draining.id);
-    world.clock.schedule(2_500, () => traffic.crash(draining));
+  'draining servers': ({ routerSimulation, traffic }) => {
+    const alive = routerSimulation.servers.filter((server) => server.alive);
+    const draining = alive[routerSimulation.random.integerBelow(alive.length)] as (typeof alive)[number];
+    routerSimulation.drain(draining.id);
+    routerSimulation.clock.schedule(2_500, () => traffic.crash(draining));
   },
-  'the owner of the hot key, repeatedly': ({ world, traffic }) => {
-    const owner = world.servers.find((server) => server.holds(HOT_KEY));
+  'the owner of the hot key, repeatedly': ({ routerSimulation, traffic }) => {
+    const owner = routerSimulation.servers.find((server) => server.holds(HOT_KEY));
     if (owner !== undefined) {
       traffic.crash(owner);
     }
@@ -214,7 +223,7 @@
         const simulation = createSimulation(seed);
         startInnocentCallers(simulation);
         repeatAtRandom(simulation, 2_500, SETTLING_TIME, RUN_TIME, () => fault(simulation));
-        simulation.world.clock.runUntil(RUN_TIME);
+        simulation.routerSimulation.clock.runUntil(RUN_TIME);
         expect(countQuarantineRefusals(simulation, false)).toEqual(0);
       }
     });
--- a/test/router/support/router-simulation.ts
+++ b/test/router/support/router-simulation.ts
@@ -385,7 +385,7 @@
     }
   }
 
-  /** Checks a daemon's link to its parent at intervals and tells the daemon when it opens or closes. */
+  /** Checks a daemon's link to its parent at intervals and notifies the daemon when it opens or closes. */
   #checkLink(daemon: SimulatedDaemon, life: number, address: string | null, wasOpen: boolean): void {
     if (address === null || daemon.parentAddress !== address || daemon.life !== life) {
       return;
