--- a/src/router/request/destination.ts
+++ b/src/router/request/destination.ts
@@ -5,7 +5,7 @@
 import type { KnownServer } from '../router-state.js';
 import { equalShare } from '../sharing/equal-share.js';
 import type { ActiveRequest } from './active-request.js';
-import { coldTurnInterval } from './cold-admission.js';
+import { coldSendInterval } from './cold-admission.js';
 import {
   createPermitRefusal,
   type RoutingRefusal,
@@ -41,14 +41,14 @@
   return Math.max(1, Math.floor(equalShare(limit * USED_CONNECTION_FRACTION, daemons)));
 }
 
-/** Returns the time between two turns of this daemon at a cold server of a service; null: requests to cold servers are not bounded. */
+/** Returns the time between two send windows of this daemon at a cold server of a service; null: requests to cold servers are not bounded. */
 function coldIntervalOf(context: RouterContext, service: ServiceName): Milliseconds | null {
   const { configuration, daemons, bounds } = context.state;
   const rate = configuration?.services.get(service)?.coldRequestRate ?? 0;
   if (bounds.coldStart === null || rate === 0) {
     return null;
   }
-  return coldTurnInterval(rate * bounds.coldStart.factor + bounds.coldStart.slack, daemons);
+  return coldSendInterval(rate * bounds.coldStart.factor + bounds.coldStart.slack, daemons);
 }
 
 function withoutLimit(): null {
@@ -100,15 +100,15 @@
 
 /** Returns the owner of a key, or a refusal while this daemon doesn't know that the owner holds the key. */
 function findOwner(context: RouterContext, service: ServiceName, key: number): KnownServer | RoutingRefusal {
-  const { ownershipView: view, servers, recentlyRejectedUnits: doubtedUnits } = context.state;
-  const unit = view.unitOf(service, key);
+  const { ownershipView, servers, recentlyRejectedUnits } = context.state;
+  const unit = ownershipView.unitOf(service, key);
   if (unit === undefined) {
     return createRefusal('the key has no owner', true);
   }
   if (!unit.granted) {
     return createRefusal(`the key is on its way to ${unit.owner}`, true);
   }
-  if (doubtedUnits.has(unit.fence, context.now)) {
+  if (recentlyRejectedUnits.has(unit.fence, context.now)) {
     return createRefusal(`the owner ${unit.owner} does not hold the key yet`, true);
   }
   return servers.get(unit.owner) ?? createRefusal(`the owner ${unit.owner} is not listed`, true);
@@ -157,7 +157,7 @@
     (known) => !isDraining(known),
   );
   const waits = remaining.map((known) => ({
-    backoff: known.rest.left(context.now),
+    backoff: known.backOff.left(context.now),
     permit: timeUntilPermit(context, request, known),
   }));
   const left = Math.min(...waits.map(({ backoff, permit }) => Math.max(backoff, permit)));
